--- a/crates/stairvale-permit/benches/grant.rs
+++ b/crates/stairvale-permit/benches/grant.rs
@@ -1,4 +1,5 @@
-//! A grant and its release at a home, by how many engines it keeps and how many permits each has out.
+//! Measures a grant with its release, and a tick, at a home by its number of engines and of outstanding permits per
+//! engine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -43,7 +44,7 @@
     home
 }
 
-/// At the size to design for a home keeps two engines with 57 permits each.
+/// A home at the design size of the fleet owns two engines with 57 permits each.
 #[divan::bench(args = [(1, 10), (2, 57), (7, 57), (7, 500)])]
 fn grant_and_release(bencher: divan::Bencher, (engines, permits): (usize, usize)) {
     let mut home = home(engines, permits);
@@ -60,7 +61,7 @@
     });
 }
 
-/// What a home does a hundred times a second.
+/// A home's periodic work, which runs a hundred times per second.
 #[divan::bench(args = [(1, 10), (2, 57), (7, 57), (7, 500)])]
 fn tick(bencher: divan::Bencher, (engines, permits): (usize, usize)) {
     let mut home = home(engines, permits);
--- a/crates/stairvale-permit/src/account.rs
+++ b/crates/stairvale-permit/src/account.rs
@@ -1,4 +1,7 @@
-//! One engine's account: what it runs, by the word of those who run it there.
+//! The account of one engine: the permits that entries hold for it and the requests queued for it.
+//!
+//! The number of outstanding requests is derived from what the entries report, since they stream to the engine
+//! themselves.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,41 +9,45 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::Ask;
 
-/// A permit that its entry hasn't renewed for this long is taken back.
+/// Time after which a permit that its entry has not renewed expires.
 pub const PERMIT_TTL: Duration = Duration::from_secs(10);
-/// How long a new home counts the engine's reported load: it asks every entry what it holds at once, and the answers
-/// take far less.
+/// How long a new home also counts the load that the engine reports.
+///
+/// The home requests the held permits from every entry as soon as it starts the account; their answers arrive well
+/// within this time.
 pub const SETTLE: Duration = Duration::from_millis(1_200);
-/// A permit that is missing from this many renewals in a row was released and the release was lost.
+/// Number of consecutive renewals of its entry after which a missing permit counts as released: its release was lost.
 const MISSED_RENEWALS: u8 = 2;
-/// A permit younger than this may be missing from a renewal that was sent before its grant arrived.
-const YOUNG: Duration = Duration::from_secs(1);
+/// Minimum age at which a permit missing from renewals is removed. A renewal may have been sent before the grant
+/// arrived.
+const RENEWAL_GRACE: Duration = Duration::from_secs(1);
 
-/// Who holds a permit.
+/// A permit that an entry holds for the engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Holder {
+pub(crate) struct Permit {
     pub entry: id::Router,
-    /// Whose request it is; a permit that was registered anew doesn't say.
+    /// Customer of the request; `None` for a permit that a renewal registered, as renewals don't carry the customer.
     pub customer: Option<id::Customer>,
     pub since: Moment,
     pub renewed: Moment,
     pub missed: u8,
 }
 
-/// An ask in the queue.
+/// A permit request, as it waits in the engine's queue.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub entry: id::Router,
     pub ask: Ask,
-    /// The entry has nowhere else to go: at the end of its wait comes a refusal.
+    /// Whether the entry has no other engine to try; such a request is refused rather than redirected when its wait
+    /// ends.
     pub last_resort: bool,
 }
 
-/// The account of one engine (or plain upstream).
+/// The account that a home keeps for one engine or plain upstream.
 #[derive(Debug)]
 pub struct Account {
-    pub(crate) held: HashMap<id::Attempt, Holder>,
-    pub(crate) queue: Queue<Waiting>,
+    pub(crate) held: HashMap<id::Attempt, Permit>,
+    pub(crate) queue: Queue<QueuedRequest>,
     pub(crate) pace: Pace,
     pub(crate) open: bool,
     pub(crate) shares: Shares,
@@ -49,10 +56,10 @@
 }
 
 impl Account {
-    pub(crate) fn new(now: Moment, queue: usize, reported: Option<u32>) -> Self {
+    pub(crate) fn new(now: Moment, queue_capacity: usize, reported: Option<u32>) -> Self {
         Self {
             held: HashMap::new(),
-            queue: Queue::new(queue),
+            queue: Queue::new(queue_capacity),
             pace: Pace::default(),
             open: true,
             shares: Shares::default(),
@@ -64,19 +71,20 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// Requests outstanding at the engine; `None` while that can't be told.
+    /// Returns the number of requests outstanding at the engine, or `None` while it can't be determined.
     ///
-    /// Until the account has settled, the engine's own report counts where it is higher than what entries told.
+    /// Until the account has settled, the engine's own report counts if it is higher than the number of registered
+    /// permits. The result is `None` if the engine hasn't reported yet.
     #[must_use]
     pub fn outstanding(&self, now: Moment) -> Option<u32> {
-        let known = u32::try_from(self.held.len()).unwrap_or(u32::MAX);
+        let registered = u32::try_from(self.held.len()).unwrap_or(u32::MAX);
         if now >= self.settle_until {
-            return Some(known);
+            return Some(registered);
         }
-        self.reported.map(|reported| reported.max(known))
+        self.reported.map(|reported| reported.max(registered))
     }
 
-    /// Whether entries had time to register all they hold.
+    /// Returns whether the settling time is over, within which the entries register all permits that they hold.
     #[must_use]
     pub fn settled(&self, now: Moment) -> bool {
         now >= self.settle_until
@@ -85,97 +93,102 @@
     // ------------------------------------------------------------------------
     // Changes.
 
-    pub(crate) fn report(&mut self, load: u32) {
+    pub(crate) fn set_reported_load(&mut self, load: u32) {
         self.reported = Some(load);
     }
 
-    /// A customer asks here.
-    pub(crate) fn notice(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
+    /// Records that a customer requested a permit for this engine, so that it competes for the slots.
+    pub(crate) fn record_request(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
         self.shares.notice(now, customer, weight);
     }
 
-    /// Whether a customer holds its share of the slots or more, while others ask here, too.
+    /// Returns whether a customer holds at least its share of `slots` while other customers compete for the engine.
     pub(crate) fn is_over_share(&self, now: Moment, customer: &id::Customer, slots: u32) -> bool {
         is_over_share(&self.held, &self.shares, now, customer, slots)
     }
 
-    /// Whether a customer holds and waits for its share of the slots or more, while others ask here, too.
-    pub(crate) fn asks_over_share(&self, now: Moment, customer: &id::Customer, slots: u32) -> bool {
-        let held = self.held.values().filter(|holder| holder.customer.as_ref() == Some(customer)).count();
-        let waiting = self.queue.iter().filter(|item| &item.customer == customer).count();
-        self.shares.of(now, customer, slots).is_some_and(|share| held + waiting >= share as usize)
+    /// Returns whether the held permits and queued requests of a customer together make up at least its share of
+    /// `slots` while other customers compete for the engine.
+    pub(crate) fn demand_exceeds_share(&self, now: Moment, customer: &id::Customer, slots: u32) -> bool {
+        let held = self.held.values().filter(|permit| permit.customer.as_ref() == Some(customer)).count();
+        let queued = self.queue.iter().filter(|item| &item.customer == customer).count();
+        self.shares.of(now, customer, slots).is_some_and(|share| held + queued >= share as usize)
     }
 
-    pub(crate) fn hold(
+    pub(crate) fn insert_permit(
         &mut self,
         now: Moment,
         attempt: id::Attempt,
         entry: &id::Router,
         customer: Option<id::Customer>,
     ) {
-        let holder = Holder { entry: entry.clone(), customer, since: now, renewed: now, missed: 0 };
-        self.held.insert(attempt, holder);
+        let permit = Permit { entry: entry.clone(), customer, since: now, renewed: now, missed: 0 };
+        self.held.insert(attempt, permit);
     }
 
     pub(crate) fn release(&mut self, now: Moment, entry: &id::Router, attempt: id::Attempt) -> bool {
-        let theirs = self.held.get(&attempt).is_some_and(|holder| &holder.entry == entry);
-        if !theirs {
+        let is_holder = self.held.get(&attempt).is_some_and(|permit| &permit.entry == entry);
+        if !is_holder {
             return false;
         }
-        if let Some(holder) = self.held.remove(&attempt) {
-            self.pace.observe(now.since(holder.since));
+        if let Some(permit) = self.held.remove(&attempt) {
+            self.pace.observe(now.since(permit.since));
         }
         true
     }
 
-    /// Takes an entry's word for all that it holds here.
+    /// Applies an entry's renewal, which lists all permits that the entry holds for this engine.
+    ///
+    /// Listed permits that this home has no record of are registered.
     pub(crate) fn renew(&mut self, now: Moment, entry: &id::Router, attempts: &[id::Attempt]) {
-        for holder in self.held.values_mut().filter(|holder| &holder.entry == entry) {
-            holder.missed += 1;
+        for permit in self.held.values_mut().filter(|permit| &permit.entry == entry) {
+            permit.missed += 1;
         }
         for attempt in attempts {
-            let Some(holder) = self.held.get_mut(attempt) else {
-                self.hold(now, *attempt, entry, None);
+            let Some(permit) = self.held.get_mut(attempt) else {
+                self.insert_permit(now, *attempt, entry, None);
                 continue;
             };
-            holder.renewed = now;
-            holder.missed = 0;
+            permit.renewed = now;
+            permit.missed = 0;
         }
-        self.held.retain(|_, holder| holder.missed < MISSED_RENEWALS || now.since(holder.since) < YOUNG);
+        self.held.retain(|_, permit| permit.missed < MISSED_RENEWALS || now.since(permit.since) < RENEWAL_GRACE);
     }
 
-    /// Drops what is held by an entry that is confirmed dead; its streams ended with it.
+    /// Removes the permits and queued requests of an entry that is confirmed dead, since its streams ended with it.
+    ///
+    /// Returns the number of removed permits.
     pub(crate) fn drop_entry(&mut self, entry: &id::Router) -> usize {
         let before = self.held.len();
-        self.held.retain(|_, holder| &holder.entry != entry);
-        self.queue.remove(|waiting| &waiting.entry == entry);
+        self.held.retain(|_, permit| &permit.entry != entry);
+        self.queue.remove(|queued| &queued.entry == entry);
         before - self.held.len()
     }
 
-    /// Drops permits that were not renewed in time.
-    pub(crate) fn age(&mut self, now: Moment) -> usize {
+    /// Removes permits that were not renewed within [`PERMIT_TTL`], and returns their number.
+    pub(crate) fn expire_permits(&mut self, now: Moment) -> usize {
         self.shares.age(now);
         let before = self.held.len();
-        self.held.retain(|_, holder| now.since(holder.renewed) < PERMIT_TTL);
+        self.held.retain(|_, permit| now.since(permit.renewed) < PERMIT_TTL);
         before - self.held.len()
     }
 
-    /// Forgets everything: after a pause nothing that was known can be relied upon.
-    pub(crate) fn restart(&mut self, now: Moment) {
+    /// Discards the permits and the reported load, which can't be relied upon after the process was paused.
+    pub(crate) fn reset(&mut self, now: Moment) {
         self.held.clear();
         self.reported = None;
         self.settle_until = now + SETTLE;
     }
 }
 
-/// As [`Account::is_over_share`], for when the queue is borrowed beside it.
+/// Variant of [`Account::is_over_share`] for use while the account's queue is mutably borrowed.
 pub(crate) fn is_over_share(
-    held: &HashMap<id::Attempt, Holder>,
+    held: &HashMap<id::Attempt, Permit>,
     shares: &Shares,
     now: Moment,
     customer: &id::Customer,
     slots: u32,
 ) -> bool {
-    let held = held.values().filter(|holder| holder.customer.as_ref() == Some(customer)).count();
+    let held = held.values().filter(|permit| permit.customer.as_ref() == Some(customer)).count();
     shares.of(now, customer, slots).is_some_and(|share| held >= share as usize)
 }
--- a/crates/stairvale-permit/src/asking.rs
+++ b/crates/stairvale-permit/src/asking.rs
@@ -1,4 +1,4 @@
-//! One attempt that waits for a permit: where it was, and where it goes next.
+//! An attempt that waits for a permit: the upstreams it has tried, and the one it tries next.
 
 use std::time::Duration;
 
@@ -7,50 +7,52 @@
 use stairvale_wire::{Ask, Profile};
 
 use crate::{
-    entry::MAX_ASKS,
+    entry::MAX_PERMIT_REQUESTS,
     request::{Directory, Effect, Step, Want},
 };
 
-/// Ranked engines tried before the emptiest are.
-const RANKED_HOPS: usize = 2;
+/// Number of usable ranked engines tried before the emptiest ones.
+const MAX_RANKED_TRIES: usize = 2;
 
+/// The state of an attempt that waits for a permit.
 #[derive(Debug)]
-pub(crate) struct Asking {
-    pub want: Want,
+pub(crate) struct PendingAttempt {
+    pub request: Want,
     pub plan: choice::Plan,
     pub deadline: Moment,
     pub upstream: id::Upstream,
     pub home: id::Router,
     pub home_rank: usize,
-    pub answer_by: Moment,
-    pub asks: u32,
-    pub next: usize,
-    pub emptiest: Vec<id::Upstream>,
+    pub answer_deadline: Moment,
+    pub requests_sent: u32,
+    pub next_candidate: usize,
+    pub emptiest_hints: Vec<id::Upstream>,
     pub last_resort: bool,
-    /// Where the prefix is, by exception or by being the first choice.
+    /// Upstream that holds the chat's prefix: the one that the first choice's home named, otherwise the first choice.
     pub prefix_at: Option<id::Upstream>,
     pub steps: Vec<Step>,
 }
 
-impl Asking {
-    /// The ranked list first, then the emptiest, then the first usable choice as a last resort.
+impl PendingAttempt {
+    /// Returns the next upstream to try: the first candidates of the ranked list, then the emptiest engines that
+    /// overflow answers suggest, then the first usable candidate as a last resort.
     pub(crate) fn next_upstream<D: Directory>(&mut self, directory: &D) -> Option<id::Upstream> {
-        let candidates = &self.want.candidates;
-        while self.next < candidates.len() && self.usable_before(directory) < RANKED_HOPS {
-            let upstream = candidates[self.next].clone();
-            self.next += 1;
-            if upstream != self.upstream || self.asks == 0 || self.next == 1 {
+        let candidates = &self.request.candidates;
+        while self.next_candidate < candidates.len() && self.usable_tried(directory) < MAX_RANKED_TRIES {
+            let upstream = candidates[self.next_candidate].clone();
+            self.next_candidate += 1;
+            if upstream != self.upstream || self.requests_sent == 0 || self.next_candidate == 1 {
                 return Some(upstream);
             }
         }
-        while !self.emptiest.is_empty() {
-            let upstream = self.emptiest.remove(0);
-            let known = candidates.contains(&upstream);
-            if known && upstream != self.upstream {
-                // One hint a round; the next overflow brings fresher ones.
-                self.emptiest.clear();
+        while !self.emptiest_hints.is_empty() {
+            let upstream = self.emptiest_hints.remove(0);
+            let is_candidate = candidates.contains(&upstream);
+            if is_candidate && upstream != self.upstream {
+                // Only one hint per overflow answer is followed, since the next answer brings fresher ones.
+                self.emptiest_hints.clear();
                 self.last_resort = false;
-                if self.asks + 2 < MAX_ASKS && self.asks < self.hint_asks() {
+                if self.requests_sent + 2 < MAX_PERMIT_REQUESTS && self.requests_sent < self.max_hinted_requests() {
                     return Some(upstream);
                 }
             }
@@ -59,49 +61,57 @@
         candidates.iter().find(|candidate| directory.usable(candidate)).cloned()
     }
 
-    /// After this many asks the last resort comes, with a fresh hint now and then in between.
-    pub(crate) fn hint_asks(&self) -> u32 {
-        const HINTS: u32 = 4;
-        u32::try_from(RANKED_HOPS).unwrap_or(0) + HINTS
+    /// Returns the number of requests after which no more hints are followed, so that only the last resort remains.
+    /// Until then each overflow answer may bring a fresh hint.
+    pub(crate) fn max_hinted_requests(&self) -> u32 {
+        const MAX_HINTS: u32 = 4;
+        u32::try_from(MAX_RANKED_TRIES).unwrap_or(0) + MAX_HINTS
     }
 
-    pub(crate) fn usable_before<D: Directory>(&self, directory: &D) -> usize {
-        self.want.candidates[..self.next].iter().filter(|candidate| directory.usable(candidate)).count()
+    /// Returns how many of the candidates tried so far are usable.
+    pub(crate) fn usable_tried<D: Directory>(&self, directory: &D) -> usize {
+        self.request.candidates[..self.next_candidate].iter().filter(|candidate| directory.usable(candidate)).count()
     }
 
-    pub(crate) fn to_ask(&self, now: Moment) -> Ask {
-        let left = self.deadline.since(now);
+    /// Builds the permit request for the current upstream.
+    ///
+    /// It may wait in the home's queue for as long as the plan permits if the upstream holds the prefix, up to its
+    /// deadline as a last resort, and not at all otherwise.
+    pub(crate) fn build_request(&self, now: Moment) -> Ask {
+        let remaining = self.deadline.since(now);
         let has_prefix = self.prefix_at.as_ref() == Some(&self.upstream);
-        let patience = match (self.last_resort, has_prefix) {
-            (true, _) => left,
-            (false, true) => self.plan.patience.min(left / 2),
+        let max_wait = match (self.last_resort, has_prefix) {
+            (true, _) => remaining,
+            (false, true) => self.plan.max_wait.min(remaining / 2),
             (false, false) => Duration::ZERO,
         };
-        let first = self.want.candidates.first() == Some(&self.upstream);
-        let knows_exception = self.prefix_at.as_ref().is_some_and(|at| at != &self.upstream);
-        let returning = self.want.profile.returning && !knows_exception;
+        let first = self.request.candidates.first() == Some(&self.upstream);
+        let has_exception = self.prefix_at.as_ref().is_some_and(|at| at != &self.upstream);
+        let returning = self.request.profile.returning && !has_exception;
         Ask {
-            attempt: self.want.attempt,
+            attempt: self.request.attempt,
             upstream: self.upstream.clone(),
-            profile: Profile { returning, ..self.want.profile.clone() },
+            profile: Profile { returning, ..self.request.profile.clone() },
             first,
-            patience,
-            deadline: left,
+            patience: max_wait,
+            deadline: remaining,
         }
     }
 
-    /// Tells the first choice's home where the prefix goes, if that changes what it knows.
-    pub(crate) fn moved<D: Directory>(&self, upstream: &id::Upstream, directory: &D) -> Option<Effect> {
-        let chat = self.want.profile.chat?;
-        let first = self.want.candidates.first()?;
-        let known = self.prefix_at.as_ref().unwrap_or(first);
-        if known == upstream {
+    /// Returns the notice to the first choice's home that the prefix moves to `upstream`, unless it has recorded that
+    /// already.
+    pub(crate) fn prefix_move<D: Directory>(&self, upstream: &id::Upstream, directory: &D) -> Option<Effect> {
+        let chat = self.request.profile.chat?;
+        let first = self.request.candidates.first()?;
+        let recorded = self.prefix_at.as_ref().unwrap_or(first);
+        if recorded == upstream {
             return None;
         }
         let to = directory.home(first, 0)?;
         Some(Effect::Moved { to, chat, first: first.clone(), upstream: upstream.clone() })
     }
 
+    /// Returns the upstream to import the prefix from, if it is usable and the plan favours a transfer.
     pub(crate) fn import_from<D: Directory>(&self, upstream: &id::Upstream, directory: &D) -> Option<id::Upstream> {
         if !self.plan.transfer {
             return None;
@@ -111,7 +121,7 @@
     }
 }
 
-/// Stands until the first ask names the real home.
+/// Returns a placeholder for the home, which stands until the first permit request sets it.
 pub(crate) fn placeholder() -> id::Router {
-    "none".parse().unwrap_or_else(|_| unreachable!("a plain word is a name"))
+    "none".parse().unwrap_or_else(|_| unreachable!("`none` is a valid router name"))
 }
--- a/crates/stairvale-permit/src/decide.rs
+++ b/crates/stairvale-permit/src/decide.rs
@@ -1,4 +1,4 @@
-//! The home's decisions: who is granted, who waits, who is sent on, who is refused.
+//! The home's decisions on permit requests: grant, queue, redirect to another engine (overflow) or refuse.
 
 use std::time::Duration;
 
@@ -11,30 +11,34 @@
 
 use crate::{
     Account, Home,
-    account::{Waiting, is_over_share},
-    home::answer,
+    account::{QueuedRequest, is_over_share},
+    home::answer_to,
     mean::Sum,
     rules::{Answer, Rules},
 };
 
-/// The least time to tell a refused caller to wait.
-const MIN_RETRY: Duration = Duration::from_millis(500);
+/// Minimum retry delay that a refusal carries.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A customer that asks for so many times its share of the bound surges.
-const SURGE: u32 = 2;
+/// Multiple of the current bound whose share a customer's demand must reach to count as over its share.
+///
+/// A burst is then detected long before it fills the customer's share of all slots.
+const BURST_BOUND_MULTIPLE: u32 = 2;
 
-/// Room for one more at an engine.
+/// Free capacity for at least one more request at an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Room {
-    /// The bound that the grant must stay below.
+    /// Load bound: a grant requires that fewer requests than this are outstanding.
     pub limit: u32,
-    /// Whether the latest mean alone would have said no.
+    /// Whether the bound by the latest mean alone would have denied the grant.
     pub over_latest: bool,
 }
 
 impl Home {
-    /// Where a returning chat's prefix sits, if this home remembers that it is elsewhere.
-    pub(crate) fn elsewhere(&self, now: Moment, ask: &Ask) -> Option<id::Upstream> {
+    /// Returns the engine that holds a returning chat's prefix if this home has recorded it as not the requested one.
+    ///
+    /// Only requests for the chat's first choice are checked.
+    pub(crate) fn find_exception(&self, now: Moment, ask: &Ask) -> Option<id::Upstream> {
         if !ask.first || !ask.profile.returning {
             return None;
         }
@@ -42,24 +46,24 @@
         (elsewhere != &ask.upstream).then(|| elsewhere.clone())
     }
 
-    /// What this home's engines of a service carry, for the mean.
-    pub(crate) fn sum(&self, now: Moment, service: &id::Service) -> Sum {
+    /// Returns the load of this home's engines of a service, as its own contribution to the mean.
+    pub(crate) fn own_sum(&self, now: Moment, service: &id::Service) -> Sum {
         let load = self.load(now, service);
         Sum { outstanding: load.outstanding, engines: load.engines, waiting: load.waiting }
     }
 
-    /// The bound on an engine's outstanding requests, its slots included.
+    /// Returns the load bound of an engine: the multiple of the mean load, but at most the number of slots.
     pub(crate) fn limit(&self, now: Moment, rules: &Rules) -> u32 {
         let Some(multiple) = rules.multiple else {
             return rules.slots;
         };
-        let own = self.sum(now, &rules.service);
-        let mean = self.services.get(&rules.service).map(|view| view.mean.get(now, own));
+        let own = self.own_sum(now, &rules.service);
+        let mean = self.services.get(&rules.service).map(|service| service.mean.get(now, own));
         let bound = multiple.bound(mean.unwrap_or_else(|| own.mean()));
         bound.min(rules.slots)
     }
 
-    /// The room that an engine has now, if any.
+    /// Returns the free capacity of an engine, if it is open and below its bound.
     pub(crate) fn room(&self, now: Moment, upstream: &id::Upstream) -> Option<Room> {
         let (rules, account) = self.accounts.get(upstream)?;
         let limit = self.limit(now, rules);
@@ -67,26 +71,28 @@
         (account.open && account.outstanding(now)? < limit).then_some(Room { limit, over_latest })
     }
 
-    /// Counts a customer among those who compete for an engine.
-    pub(crate) fn notice(&mut self, now: Moment, ask: &Ask) {
+    /// Records the request's customer as competing for the engine.
+    pub(crate) fn record_request(&mut self, now: Moment, ask: &Ask) {
         if let Some((_, account)) = self.accounts.get_mut(&ask.upstream) {
-            account.notice(now, &ask.profile.customer, ask.profile.weight);
+            account.record_request(now, &ask.profile.customer, ask.profile.weight);
         }
     }
 
-    /// Whether the room that an engine has is for none of those who wait there: nobody does, or only customers over their
-    /// share, and what is left is for the others.
-    pub(crate) fn goes_first(&self, now: Moment, upstream: &id::Upstream) -> bool {
+    /// Returns whether a new request may be granted ahead of the queue.
+    ///
+    /// That is so if the queue is empty, or if all queued requests belong to customers over their share and only
+    /// reserved slots are free, which such customers may not use.
+    pub(crate) fn may_bypass_queue(&self, now: Moment, upstream: &id::Upstream) -> bool {
         let Some((rules, account)) = self.accounts.get(upstream) else {
             return false;
         };
-        let is_over = |item: &Item<Waiting>| account.is_over_share(now, &item.customer, rules.slots);
+        let is_over = |item: &Item<QueuedRequest>| account.is_over_share(now, &item.customer, rules.slots);
         account.queue.is_empty() || (!self.has_unreserved(now, upstream) && account.queue.iter().all(is_over))
     }
 
-    /// Whether a customer may take what room there is: one over its share leaves some slots to the others.
-    pub(crate) fn may_take(&self, now: Moment, waiting: &Waiting) -> bool {
-        !self.is_over_share(now, waiting) || self.has_unreserved(now, &waiting.ask.upstream)
+    /// Returns whether a request may use the free capacity. Customers over their share may not use the reserved slots.
+    pub(crate) fn may_use_room(&self, now: Moment, queued: &QueuedRequest) -> bool {
+        !self.is_over_share(now, queued) || self.has_unreserved(now, &queued.ask.upstream)
     }
 
     pub(crate) fn has_unreserved(&self, now: Moment, upstream: &id::Upstream) -> bool {
@@ -96,53 +102,55 @@
         account.outstanding(now).is_some_and(|outstanding| outstanding < unreserved(rules.slots))
     }
 
-    pub(crate) fn is_over_share(&self, now: Moment, waiting: &Waiting) -> bool {
-        let account = self.accounts.get(&waiting.ask.upstream);
-        account.is_some_and(|(rules, account)| account.is_over_share(now, &waiting.ask.profile.customer, rules.slots))
+    pub(crate) fn is_over_share(&self, now: Moment, queued: &QueuedRequest) -> bool {
+        let account = self.accounts.get(&queued.ask.upstream);
+        account.is_some_and(|(rules, account)| account.is_over_share(now, &queued.ask.profile.customer, rules.slots))
     }
 
-    /// Whether a customer asks for more than its share, by what it holds and what it has waiting: then the engine serves
-    /// others' prompts first.
+    /// Returns whether a customer's demand, that is its held permits and queued requests, exceeds its share. The engine
+    /// then serves the prompts of other customers first.
     ///
-    /// A surge shows long before it fills the slots: it asks for far more than its share of what may run now.
-    pub(crate) fn asks_over_share(&self, now: Moment, waiting: &Waiting) -> bool {
-        let Some((rules, account)) = self.accounts.get(&waiting.ask.upstream) else {
+    /// The share is taken of a multiple of the current bound rather than of all slots, which detects a burst long
+    /// before it fills the slots.
+    pub(crate) fn demand_exceeds_share(&self, now: Moment, queued: &QueuedRequest) -> bool {
+        let Some((rules, account)) = self.accounts.get(&queued.ask.upstream) else {
             return false;
         };
-        let competed = self.limit(now, rules).saturating_mul(SURGE).min(rules.slots);
-        account.asks_over_share(now, &waiting.ask.profile.customer, competed)
+        let contested_slots = self.limit(now, rules).saturating_mul(BURST_BOUND_MULTIPLE).min(rules.slots);
+        account.demand_exceeds_share(now, &queued.ask.profile.customer, contested_slots)
     }
 
-    /// Makes a permit in the room that was seen.
-    pub(crate) fn grant(&mut self, now: Moment, waiting: &Waiting, room: Room) -> Answer {
-        let over_share = self.asks_over_share(now, waiting);
-        let Some((_, account)) = self.accounts.get_mut(&waiting.ask.upstream) else {
-            return answer(waiting, Verdict::NotHome { home: None });
+    /// Grants a permit within the given free capacity.
+    pub(crate) fn grant(&mut self, now: Moment, queued: &QueuedRequest, room: Room) -> Answer {
+        let over_share = self.demand_exceeds_share(now, queued);
+        let Some((_, account)) = self.accounts.get_mut(&queued.ask.upstream) else {
+            return answer_to(queued, Verdict::NotHome { home: None });
         };
-        // Held where the permit is made, whatever led here.
+        // Enforces the bound at the one place where permits are created, whichever path led here.
         if account.outstanding(now).is_none_or(|outstanding| outstanding >= room.limit) {
             self.counts.violations += 1;
-            return answer(waiting, Verdict::Overflow { emptiest: Vec::new() });
+            return answer_to(queued, Verdict::Overflow { emptiest: Vec::new() });
         }
-        account.hold(now, waiting.ask.attempt, &waiting.entry, Some(waiting.ask.profile.customer.clone()));
+        account.insert_permit(now, queued.ask.attempt, &queued.entry, Some(queued.ask.profile.customer.clone()));
         let outstanding = u32::try_from(account.held.len()).unwrap_or(u32::MAX);
         self.counts.granted += 1;
         self.counts.over_bound += u64::from(room.over_latest);
-        if let Some(chat) = waiting.ask.profile.chat.filter(|_| !self.exceptions.is_empty()) {
-            self.settle_exception(now, chat, &waiting.ask);
+        if let Some(chat) = queued.ask.profile.chat.filter(|_| !self.exceptions.is_empty()) {
+            self.clear_exception(now, chat, &queued.ask);
         }
-        answer(waiting, Verdict::Granted { outstanding, over_share })
+        answer_to(queued, Verdict::Granted { outstanding, over_share })
     }
 
-    /// A chat that runs at its first choice has its prefix there from now on.
-    pub(crate) fn settle_exception(&mut self, now: Moment, chat: id::Chat, ask: &Ask) {
-        let sits_elsewhere = self.exceptions.find(now, chat).is_some_and(|to| to != &ask.upstream);
-        if ask.first && sits_elsewhere {
-            self.exceptions.forget(chat);
+    /// Removes the exception of a chat that is granted at its first choice, since its prefix is cached there from now
+    /// on.
+    pub(crate) fn clear_exception(&mut self, now: Moment, chat: id::Chat, ask: &Ask) {
+        let is_elsewhere = self.exceptions.find(now, chat).is_some_and(|to| to != &ask.upstream);
+        if ask.first && is_elsewhere {
+            self.exceptions.remove(chat);
         }
     }
 
-    /// Whether one more would pass the bound by the latest mean alone.
+    /// Returns whether one more request would exceed the bound computed from the latest mean alone.
     pub(crate) fn is_over_latest(&self, now: Moment, upstream: &id::Upstream) -> bool {
         let Some((rules, account)) = self.accounts.get(upstream) else {
             return false;
@@ -150,45 +158,45 @@
         let Some(multiple) = rules.multiple else {
             return false;
         };
-        let own = self.sum(now, &rules.service);
-        let mean = self.services.get(&rules.service).map(|view| view.mean.latest(now, own));
+        let own = self.own_sum(now, &rules.service);
+        let mean = self.services.get(&rules.service).map(|service| service.mean.latest(now, own));
         let bound = multiple.bound(mean.unwrap_or_default());
         mean.is_some() && account.outstanding(now).is_some_and(|outstanding| outstanding >= bound)
     }
 
-    pub(crate) fn wait(&mut self, now: Moment, waiting: &Waiting) -> Vec<Answer> {
-        let upstream = waiting.ask.upstream.clone();
-        if waiting.ask.patience.is_zero() {
+    pub(crate) fn enqueue(&mut self, now: Moment, queued: &QueuedRequest) -> Vec<Answer> {
+        let upstream = queued.ask.upstream.clone();
+        if queued.ask.patience.is_zero() {
             self.counts.overflowed += 1;
-            return vec![answer(waiting, self.overflow(&waiting.ask.profile.service))];
+            return vec![answer_to(queued, self.overflow_verdict(&queued.ask.profile.service))];
         }
-        let predicted = self.predict(now, &waiting.ask);
-        if waiting.last_resort && predicted > waiting.ask.deadline {
-            return vec![self.refuse(waiting, Reason::Deadline, predicted)];
+        let predicted = self.predict_wait(now, &queued.ask);
+        if queued.last_resort && predicted > queued.ask.deadline {
+            return vec![self.refuse(queued, Reason::Deadline, predicted)];
         }
         let item = Item::new(
-            waiting.clone(),
-            waiting.ask.profile.customer.clone(),
-            waiting.ask.profile.class,
-            now + waiting.ask.patience,
+            queued.clone(),
+            queued.ask.profile.customer.clone(),
+            queued.ask.profile.class,
+            now + queued.ask.patience,
         );
-        let item = item.with_weight(waiting.ask.profile.weight);
+        let item = item.with_weight(queued.ask.profile.weight);
         let Some((_, account)) = self.accounts.get_mut(&upstream) else {
             return Vec::new();
         };
         self.counts.queued += 1;
-        let Err(Full(out)) = account.queue.push(now, item) else {
-            return self.serve(now, &upstream);
+        let Err(Full(evicted)) = account.queue.push(now, item) else {
+            return self.grant_queued(now, &upstream);
         };
-        if out.value.last_resort {
-            return vec![self.refuse(&out.value, Reason::Busy, predicted)];
+        if evicted.value.last_resort {
+            return vec![self.refuse(&evicted.value, Reason::Busy, predicted)];
         }
         self.counts.overflowed += 1;
-        let verdict = self.overflow(&out.value.ask.profile.service);
-        vec![answer(&out.value, verdict)]
+        let verdict = self.overflow_verdict(&evicted.value.ask.profile.service);
+        vec![answer_to(&evicted.value, verdict)]
     }
 
-    pub(crate) fn predict(&self, now: Moment, ask: &Ask) -> Duration {
+    pub(crate) fn predict_wait(&self, now: Moment, ask: &Ask) -> Duration {
         let Some((rules, account)) = self.accounts.get(&ask.upstream) else {
             return Duration::ZERO;
         };
@@ -196,31 +204,31 @@
         account.pace.wait(ahead, self.limit(now, rules))
     }
 
-    pub(crate) fn refuse(&mut self, waiting: &Waiting, reason: Reason, predicted: Duration) -> Answer {
+    pub(crate) fn refuse(&mut self, queued: &QueuedRequest, reason: Reason, predicted: Duration) -> Answer {
         self.counts.refused += 1;
-        let refusal = Refusal::new(reason, predicted.max(MIN_RETRY));
-        answer(waiting, Verdict::Refused(refusal))
+        let refusal = Refusal::new(reason, predicted.max(MIN_RETRY_AFTER));
+        answer_to(queued, Verdict::Refused(refusal))
     }
 
-    pub(crate) fn overflow(&self, service: &id::Service) -> Verdict {
-        let view = self.services.get(service);
-        let emptiest = view.map(|view| view.emptiest.iter().map(|(upstream, _)| upstream.clone()).collect());
+    pub(crate) fn overflow_verdict(&self, service: &id::Service) -> Verdict {
+        let service = self.services.get(service);
+        let emptiest = service.map(|service| service.emptiest.iter().map(|(upstream, _)| upstream.clone()).collect());
         Verdict::Overflow { emptiest: emptiest.unwrap_or_default() }
     }
 
-    /// Grants to those who wait, in turn, while there is room.
-    pub(crate) fn serve(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
+    /// Grants queued requests in queue order while the engine has free capacity.
+    pub(crate) fn grant_queued(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
         let mut answers = Vec::new();
-        // The room is that with the item still in the queue: it counts as waiting until it runs.
+        // Computed while the item is still in the queue, since it counts as waiting until it is granted.
         while let Some(room) = self.room(now, upstream) {
-            let full_for_most = !self.has_unreserved(now, upstream);
+            let only_reserved = !self.has_unreserved(now, upstream);
             let Some((rules, account)) = self.accounts.get_mut(upstream) else {
                 break;
             };
             let slots = rules.slots;
             let Account { queue, held, shares, .. } = account;
             let is_over = |customer: &id::Customer| is_over_share(held, shares, now, customer, slots);
-            let Some(item) = queue.pop_if(now, |item| !full_for_most || !is_over(&item.customer)) else {
+            let Some(item) = queue.pop_if(now, |item| !only_reserved || !is_over(&item.customer)) else {
                 break;
             };
             answers.push(self.grant(now, &item.value, room));
@@ -228,12 +236,12 @@
         answers
     }
 
-    pub(crate) fn serve_all(&mut self, now: Moment) -> Vec<Answer> {
+    pub(crate) fn grant_all_queued(&mut self, now: Moment) -> Vec<Answer> {
         let upstreams: Vec<_> = self.accounts.keys().cloned().collect();
-        upstreams.iter().flat_map(|upstream| self.serve(now, upstream)).collect()
+        upstreams.iter().flat_map(|upstream| self.grant_queued(now, upstream)).collect()
     }
 
-    pub(crate) fn expire(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
+    pub(crate) fn expire_queued(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
         let Some((_, account)) = self.accounts.get_mut(upstream) else {
             return Vec::new();
         };
@@ -241,24 +249,25 @@
         let mut answers = Vec::new();
         for item in expired {
             if item.value.last_resort {
-                answers.push(self.refuse(&item.value, Reason::Deadline, MIN_RETRY));
+                answers.push(self.refuse(&item.value, Reason::Deadline, MIN_RETRY_AFTER));
                 continue;
             }
             self.counts.overflowed += 1;
-            let verdict = self.overflow(&item.value.ask.profile.service);
-            answers.push(answer(&item.value, verdict));
+            let verdict = self.overflow_verdict(&item.value.ask.profile.service);
+            answers.push(answer_to(&item.value, verdict));
         }
         answers
     }
 
-    /// Refuses now what would only be refused at its deadline later.
-    pub(crate) fn refuse_hopeless(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
+    /// Refuses queued last-resort requests at once if half of their predicted wait already exceeds their deadline,
+    /// since they would only be refused then.
+    pub(crate) fn refuse_unservable(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Answer> {
         let Some((rules, account)) = self.accounts.get(upstream) else {
             return Vec::new();
         };
         let limit = self.limit(now, rules);
         let count = account.queue.len();
-        let hopeless: Vec<_> = account
+        let unservable: Vec<_> = account
             .queue
             .iter()
             .filter(|item| item.value.last_resort)
@@ -272,31 +281,31 @@
             .map(|item| item.value.clone())
             .collect();
         let mut answers = Vec::new();
-        for waiting in hopeless {
+        for queued in unservable {
             if let Some((_, account)) = self.accounts.get_mut(upstream) {
-                account.queue.remove(|other| other.ask.attempt == waiting.ask.attempt);
+                account.queue.remove(|other| other.ask.attempt == queued.ask.attempt);
             }
-            answers.push(self.refuse(&waiting, Reason::Deadline, MIN_RETRY));
+            answers.push(self.refuse(&queued, Reason::Deadline, MIN_RETRY_AFTER));
         }
         answers
     }
 
-    /// Sends one that waits as a last resort to an engine that has room by now.
-    pub(crate) fn send_on(&mut self, now: Moment, service: &id::Service) -> Vec<Answer> {
-        let Some(least) = self.services.get(service).and_then(|view| view.emptiest.first().cloned()) else {
+    /// Redirects one queued last-resort request of each engine if the service's emptiest engine has free capacity.
+    pub(crate) fn redirect_queued(&mut self, now: Moment, service: &id::Service) -> Vec<Answer> {
+        let Some(emptiest) = self.services.get(service).and_then(|service| service.emptiest.first().cloned()) else {
             return Vec::new();
         };
-        let here = self.accounts.iter().filter(|(_, (rules, _))| &rules.service == service);
-        let full =
-            here.filter(|(_, (rules, account))| !account.queue.is_empty() && least.1 + 1 < self.limit(now, rules));
-        let upstreams: Vec<_> = full.map(|(upstream, _)| upstream.clone()).filter(|u| u != &least.0).collect();
+        let accounts = self.accounts.iter().filter(|(_, (rules, _))| &rules.service == service);
+        let full = accounts
+            .filter(|(_, (rules, account))| !account.queue.is_empty() && emptiest.1 + 1 < self.limit(now, rules));
+        let upstreams: Vec<_> = full.map(|(upstream, _)| upstream.clone()).filter(|u| u != &emptiest.0).collect();
         let mut answers = Vec::new();
         for upstream in upstreams {
             let Some((_, account)) = self.accounts.get_mut(&upstream) else {
                 continue;
             };
             if let Some(item) = account.queue.pop_if(now, |item| item.value.last_resort) {
-                answers.push(answer(&item.value, self.overflow(service)));
+                answers.push(answer_to(&item.value, self.overflow_verdict(service)));
             }
         }
         answers
--- a/crates/stairvale-permit/src/home.rs
+++ b/crates/stairvale-permit/src/home.rs
@@ -1,4 +1,4 @@
-//! The home: it grants permits for the engines it keeps the accounts of.
+//! The home: the router that owns the accounts of some engines and grants permits for them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,49 +8,49 @@
 
 use crate::{
     Account, Mean,
-    account::Waiting,
+    account::QueuedRequest,
     mean::Sum,
     rules::{Answer, Counts, Rules},
 };
 
-/// Chats that one home remembers as exceptions; at 40 bytes each this is 8 MB.
-pub const EXCEPTIONS: usize = 200_000;
-/// How long an exception is believed. docs/MEASUREMENTS.md compares times.
-pub const EXCEPTION_KEEP: Duration = Duration::from_secs(1_800);
-/// How many of the emptiest engines are named to those who overflow.
+/// Maximum number of chats that one home records as exceptions; at 40 bytes each this is 8 MB.
+pub const EXCEPTION_CAPACITY: usize = 200_000;
+/// How long an exception is kept after it was last recorded.
+pub const EXCEPTION_TTL: Duration = Duration::from_secs(1_800);
+/// Maximum number of least-loaded engines that an overflow answer suggests.
 pub const EMPTIEST: usize = 3;
 
-/// A service as a home sees it.
+/// Fleet-wide load of a service, as last received by this home.
 #[derive(Debug, Default)]
-pub(crate) struct View {
+pub(crate) struct ServiceLoad {
     pub mean: Mean,
     pub emptiest: Vec<(id::Upstream, u32)>,
 }
 
-/// The home of some engines.
+/// The accounts of the engines whose home is this router.
 #[derive(Debug)]
 pub struct Home {
-    pub(crate) me: id::Router,
+    pub(crate) router: id::Router,
     pub(crate) accounts: BTreeMap<id::Upstream, (Rules, Account)>,
-    pub(crate) services: BTreeMap<id::Service, View>,
+    pub(crate) services: BTreeMap<id::Service, ServiceLoad>,
     pub(crate) exceptions: Exceptions,
     pub(crate) counts: Counts,
 }
 
 impl Home {
-    /// A home without engines.
+    /// Creates a home without engines; `router` is the router that it runs in.
     #[must_use]
-    pub fn new(me: id::Router) -> Self {
+    pub fn new(router: id::Router) -> Self {
         Self {
-            me,
+            router,
             accounts: BTreeMap::new(),
             services: BTreeMap::new(),
-            exceptions: Exceptions::new(EXCEPTIONS, EXCEPTION_KEEP),
+            exceptions: Exceptions::new(EXCEPTION_CAPACITY, EXCEPTION_TTL),
             counts: Counts::default(),
         }
     }
 
-    /// Sets how exceptions are remembered.
+    /// Replaces the table of exceptions, and with it its capacity and retention time.
     #[must_use]
     pub fn with_exceptions(mut self, exceptions: Exceptions) -> Self {
         self.exceptions = exceptions;
@@ -60,53 +60,55 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// The router this home runs in.
+    /// Returns the router that this home runs in.
     #[must_use]
     pub fn router(&self) -> &id::Router {
-        &self.me
+        &self.router
     }
 
-    /// What was counted.
+    /// Returns the counters since the start of this home.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The engines whose accounts are here.
+    /// Returns the engines whose accounts this home owns.
     pub fn upstreams(&self) -> impl Iterator<Item = &id::Upstream> {
         self.accounts.keys()
     }
 
-    /// Whether an engine's account is here.
+    /// Returns whether this home owns an engine's account.
     #[must_use]
     pub fn keeps(&self, upstream: &id::Upstream) -> bool {
         self.accounts.contains_key(upstream)
     }
 
-    /// Permits held of an engine; `None` if its account isn't here.
+    /// Returns the number of permits held for an engine, or `None` if this home doesn't own its account.
     #[must_use]
     pub fn outstanding(&self, upstream: &id::Upstream) -> Option<usize> {
         self.accounts.get(upstream).map(|(_, account)| account.held.len())
     }
 
-    /// Asks waiting here.
+    /// Returns the number of requests queued for all engines of this home.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.accounts.values().map(|(_, account)| account.queue.len()).sum()
     }
 
-    /// The chats remembered as exceptions, and their bytes.
+    /// Returns the number of chats recorded as exceptions, and the memory they take in bytes.
     #[must_use]
     pub fn exceptions(&self) -> (usize, usize) {
         (self.exceptions.len(), self.exceptions.bytes())
     }
 
-    /// What this home's engines of a service carry.
+    /// Returns the load of this home's open engines of a service.
+    ///
+    /// An engine whose load can't be determined yet counts as full.
     #[must_use]
     pub fn load(&self, now: Moment, service: &id::Service) -> Load {
         let mut load =
             Load { service: service.clone(), zone: None, outstanding: 0, engines: 0, waiting: 0, emptiest: Vec::new() };
-        let mut waiting = usize::MAX;
+        let mut min_queued = usize::MAX;
         for (upstream, (rules, account)) in &self.accounts {
             if &rules.service != service || !account.open {
                 continue;
@@ -114,16 +116,16 @@
             let outstanding = account.outstanding(now).unwrap_or(rules.slots);
             load.outstanding += u64::from(outstanding);
             load.engines += 1;
-            waiting = waiting.min(account.queue.len());
+            min_queued = min_queued.min(account.queue.len());
             load.emptiest.push((upstream.clone(), outstanding));
         }
-        load.waiting = if load.engines > 0 { u32::try_from(waiting).unwrap_or(0) } else { 0 };
+        load.waiting = if load.engines > 0 { u32::try_from(min_queued).unwrap_or(0) } else { 0 };
         load.emptiest.sort_by(|(x, a), (y, b)| a.cmp(b).then_with(|| x.cmp(y)));
         load.emptiest.truncate(EMPTIEST);
         load
     }
 
-    /// The services that have engines here.
+    /// Returns the services that have engines at this home, sorted by name.
     #[must_use]
     pub fn services(&self) -> Vec<id::Service> {
         let mut services: Vec<_> = self.accounts.values().map(|(rules, _)| rules.service.clone()).collect();
@@ -132,7 +134,8 @@
         services
     }
 
-    /// The bound on an engine's outstanding requests now, slots included.
+    /// Returns the current load bound of an engine, which is at most its slots, or `None` if this home doesn't own its
+    /// account.
     #[must_use]
     pub fn bound(&self, now: Moment, upstream: &id::Upstream) -> Option<u32> {
         let (rules, _) = self.accounts.get(upstream)?;
@@ -140,15 +143,15 @@
     }
 
     // ------------------------------------------------------------------------
-    // Changes of what is kept here.
+    // Account ownership.
 
-    /// Takes on an engine's account, or changes its rules.
+    /// Starts an engine's account, or updates the rules of an existing one.
     ///
-    /// Says whether the account is new, so that entries must be asked what they hold.
+    /// Returns whether the account is new; the entries must then be requested to register the permits that they hold.
     pub fn adopt(&mut self, now: Moment, upstream: id::Upstream, rules: Rules, reported: Option<u32>) -> bool {
-        if let Some((old, account)) = self.accounts.get_mut(&upstream) {
+        if let Some((current, account)) = self.accounts.get_mut(&upstream) {
             account.queue.set_capacity(rules.queue);
-            *old = rules;
+            *current = rules;
             return false;
         }
         let account = Account::new(now, rules.queue, reported);
@@ -156,17 +159,18 @@
         true
     }
 
-    /// Gives an engine's account up; those who wait are told to ask anew.
+    /// Gives up an engine's account. Queued requests are answered with `NotHome`, so that their entries
+    /// request again elsewhere.
     pub fn abandon(&mut self, upstream: &id::Upstream) -> Vec<Answer> {
         let Some((_, mut account)) = self.accounts.remove(upstream) else {
             return Vec::new();
         };
-        let waiting = account.queue.remove(|_| true);
+        let queued = account.queue.remove(|_| true);
         let verdict = Verdict::NotHome { home: None };
-        waiting.into_iter().map(|item| answer(&item.value, verdict.clone())).collect()
+        queued.into_iter().map(|item| answer_to(&item.value, verdict.clone())).collect()
     }
 
-    /// Opens or closes an engine for new work. Closing sends on all that waits for it.
+    /// Opens or closes an engine for new work. Closing answers its queued requests with `Closed`.
     pub fn set_open(&mut self, now: Moment, upstream: &id::Upstream, open: bool) -> Vec<Answer> {
         let Some((_, account)) = self.accounts.get_mut(upstream) else {
             return Vec::new();
@@ -176,26 +180,28 @@
         }
         account.open = open;
         if open {
-            return self.serve(now, upstream);
+            return self.grant_queued(now, upstream);
         }
-        let waiting = account.queue.remove(|_| true);
-        waiting.into_iter().map(|item| answer(&item.value, Verdict::Closed)).collect()
+        let queued = account.queue.remove(|_| true);
+        queued.into_iter().map(|item| answer_to(&item.value, Verdict::Closed)).collect()
     }
 
-    /// An upstream is gone for good: no prefix is there.
+    /// Removes the exceptions that point to an upstream which is permanently gone, since its prefixes are lost.
     pub fn forget_upstream(&mut self, upstream: &id::Upstream) {
-        self.exceptions.forget_upstream(upstream);
+        self.exceptions.remove_upstream(upstream);
     }
 
-    /// After a pause nothing that was known can be relied upon: the accounts start anew.
+    /// Restarts all accounts after the process was paused, as their state may be out of date.
+    ///
+    /// Queued requests are answered with `NotHome`.
     pub fn distrust(&mut self, now: Moment) -> Vec<Answer> {
         self.counts.distrusted += 1;
         let mut answers = Vec::new();
         for (_, account) in self.accounts.values_mut() {
-            account.restart(now);
-            let waiting = account.queue.remove(|_| true);
+            account.reset(now);
+            let queued = account.queue.remove(|_| true);
             let verdict = Verdict::NotHome { home: None };
-            answers.extend(waiting.into_iter().map(|item| answer(&item.value, verdict.clone())));
+            answers.extend(queued.into_iter().map(|item| answer_to(&item.value, verdict.clone())));
         }
         answers
     }
@@ -203,36 +209,40 @@
     // ------------------------------------------------------------------------
     // Messages.
 
-    /// An entry asks for a permit.
+    /// Handles an entry's request for a permit.
+    ///
+    /// There is no answer while the request is queued.
     pub fn ask(&mut self, now: Moment, entry: &id::Router, ask: Ask) -> Vec<Answer> {
         let upstream = ask.upstream.clone();
-        let waiting = Waiting { entry: entry.clone(), last_resort: ask.patience >= ask.deadline, ask };
+        let queued = QueuedRequest { entry: entry.clone(), last_resort: ask.patience >= ask.deadline, ask };
         let Some((_, account)) = self.accounts.get(&upstream) else {
-            return vec![answer(&waiting, Verdict::NotHome { home: None })];
+            return vec![answer_to(&queued, Verdict::NotHome { home: None })];
         };
-        if account.held.contains_key(&waiting.ask.attempt) {
-            // The ask was doubled on the way, or its answer was lost: the permit stands.
+        if account.held.contains_key(&queued.ask.attempt) {
+            // The request was duplicated in transit, or its answer was lost: the permit remains valid.
             let outstanding = u32::try_from(account.held.len()).unwrap_or(u32::MAX);
-            return vec![answer(&waiting, Verdict::Granted { outstanding, over_share: false })];
+            return vec![answer_to(&queued, Verdict::Granted { outstanding, over_share: false })];
         }
-        if account.queue.iter().any(|item| item.value.ask.attempt == waiting.ask.attempt) {
+        if account.queue.iter().any(|item| item.value.ask.attempt == queued.ask.attempt) {
             return Vec::new();
         }
-        if let Some(elsewhere) = self.elsewhere(now, &waiting.ask) {
-            return vec![answer(&waiting, Verdict::Elsewhere { upstream: elsewhere })];
+        if let Some(elsewhere) = self.find_exception(now, &queued.ask) {
+            return vec![answer_to(&queued, Verdict::Elsewhere { upstream: elsewhere })];
         }
         if !account.open {
-            return vec![answer(&waiting, Verdict::Closed)];
+            return vec![answer_to(&queued, Verdict::Closed)];
         }
-        self.notice(now, &waiting.ask);
-        let room = self.room(now, &upstream).filter(|_| self.goes_first(now, &upstream));
-        if let Some(room) = room.filter(|_| self.may_take(now, &waiting)) {
-            return vec![self.grant(now, &waiting, room)];
+        self.record_request(now, &queued.ask);
+        let room = self.room(now, &upstream).filter(|_| self.may_bypass_queue(now, &upstream));
+        if let Some(room) = room.filter(|_| self.may_use_room(now, &queued)) {
+            return vec![self.grant(now, &queued, room)];
         }
-        self.wait(now, &waiting)
+        self.enqueue(now, &queued)
     }
 
-    /// An entry no longer waits for an attempt.
+    /// Handles an entry's notice that it no longer waits for an attempt.
+    ///
+    /// A permit that the attempt has been granted in the meantime is released.
     pub fn forget(
         &mut self,
         now: Moment,
@@ -243,11 +253,11 @@
         let Some((_, account)) = self.accounts.get_mut(upstream) else {
             return Vec::new();
         };
-        account.queue.remove(|waiting| waiting.ask.attempt == attempt && &waiting.entry == entry);
+        account.queue.remove(|queued| queued.ask.attempt == attempt && &queued.entry == entry);
         self.release(now, entry, upstream, &[attempt])
     }
 
-    /// An entry gives permits back.
+    /// Releases permits that an entry returns.
     pub fn release(
         &mut self,
         now: Moment,
@@ -261,10 +271,10 @@
         for attempt in attempts {
             account.release(now, entry, *attempt);
         }
-        self.serve(now, upstream)
+        self.grant_queued(now, upstream)
     }
 
-    /// An entry tells all that it holds of the engines kept here.
+    /// Applies an entry's renewal, which lists all permits that it holds for the engines of this home.
     pub fn renew(&mut self, now: Moment, entry: &id::Router, held: &[Held]) -> Vec<Answer> {
         let mut answers = Vec::new();
         for upstream in self.accounts.keys().cloned().collect::<Vec<_>>() {
@@ -273,41 +283,42 @@
             if let Some((_, account)) = self.accounts.get_mut(&upstream) {
                 account.renew(now, entry, attempts);
             }
-            answers.extend(self.serve(now, &upstream));
+            answers.extend(self.grant_queued(now, &upstream));
         }
         answers
     }
 
-    /// A chat's prefix moved away from its first choice, or back to it.
+    /// Records that a chat's prefix moved away from its first choice `first`, or back to it.
     pub fn moved(&mut self, now: Moment, chat: id::Chat, first: &id::Upstream, to: &id::Upstream) {
         if first == to {
-            self.exceptions.forget(chat);
+            self.exceptions.remove(chat);
             return;
         }
-        self.exceptions.remember(now, chat, to);
+        self.exceptions.record(now, chat, to);
     }
 
-    /// An entry is confirmed dead.
+    /// Removes the permits and queued requests of an entry that is confirmed dead.
     pub fn drop_entry(&mut self, now: Moment, entry: &id::Router) -> Vec<Answer> {
         for (_, account) in self.accounts.values_mut() {
             account.drop_entry(entry);
         }
-        self.serve_all(now)
+        self.grant_all_queued(now)
     }
 
-    /// An engine reported its load.
+    /// Records the load that an engine reported.
     pub fn report(&mut self, now: Moment, upstream: &id::Upstream, load: u32) -> Vec<Answer> {
         let Some((_, account)) = self.accounts.get_mut(upstream) else {
             return Vec::new();
         };
-        account.report(load);
+        account.set_reported_load(load);
         if account.settled(now) {
             return Vec::new();
         }
-        self.serve(now, upstream)
+        self.grant_queued(now, upstream)
     }
 
-    /// The sum over a service's engines came in, this home's own last report included.
+    /// Records the summed load of all other homes' engines of a service, and the emptiest engines of the fleet, which
+    /// include those of this home as it last reported them.
     pub fn mean(
         &mut self,
         now: Moment,
@@ -315,29 +326,31 @@
         others: Sum,
         emptiest: Vec<(id::Upstream, u32)>,
     ) -> Vec<Answer> {
-        let view = self.services.entry(service.clone()).or_default();
-        view.mean.report(now, others);
-        view.emptiest = emptiest;
-        let mut answers = self.serve_all(now);
-        answers.extend(self.send_on(now, service));
+        let fleet = self.services.entry(service.clone()).or_default();
+        fleet.mean.report(now, others);
+        fleet.emptiest = emptiest;
+        let mut answers = self.grant_all_queued(now);
+        answers.extend(self.redirect_queued(now, service));
         answers
     }
 
-    /// Lets time pass: waits end, permits age, what can't be served in time is refused now.
+    /// Processes time-outs: ends waits that are over, removes permits that were not renewed, and refuses requests that
+    /// can't be served in time.
     pub fn tick(&mut self, now: Moment) -> Vec<Answer> {
         let mut answers = Vec::new();
         for upstream in self.accounts.keys().cloned().collect::<Vec<_>>() {
-            answers.extend(self.expire(now, &upstream));
-            answers.extend(self.refuse_hopeless(now, &upstream));
+            answers.extend(self.expire_queued(now, &upstream));
+            answers.extend(self.refuse_unservable(now, &upstream));
             if let Some((_, account)) = self.accounts.get_mut(&upstream) {
-                self.counts.aged += account.age(now) as u64;
+                self.counts.aged += account.expire_permits(now) as u64;
             }
-            answers.extend(self.serve(now, &upstream));
+            answers.extend(self.grant_queued(now, &upstream));
         }
         answers
     }
 }
 
-pub(crate) fn answer(waiting: &Waiting, verdict: Verdict) -> Answer {
-    Answer { to: waiting.entry.clone(), upstream: waiting.ask.upstream.clone(), attempt: waiting.ask.attempt, verdict }
+/// Builds the answer to a permit request, whether it was queued or not.
+pub(crate) fn answer_to(queued: &QueuedRequest, verdict: Verdict) -> Answer {
+    Answer { to: queued.entry.clone(), upstream: queued.ask.upstream.clone(), attempt: queued.ask.attempt, verdict }
 }
--- a/crates/stairvale-permit/src/lib.rs
+++ b/crates/stairvale-permit/src/lib.rs
@@ -1,8 +1,9 @@
-//! Permits: an engine's home keeps its account, entries stream to the engine themselves.
+//! Permits to use an engine: the engine's home owns its account, while the entry routers stream to the engine directly.
 //!
-//! [`Home`] holds an [`Account`] for each engine that this router is the home of, and grants only under the bound.
-//! [`Entry`] takes one request's attempt from engine to engine until it is granted or refused, renews what it holds,
-//! and gives it back. Both are pure: time and messages are handed in, effects are handed out.
+//! [`Home`] holds an [`Account`] for each engine whose home is this router, and grants permits only below the load
+//! bound. [`Entry`] requests permits for an attempt from one engine after the other until it is granted or refused. It
+//! renews the permits that it holds and releases them at the end. Both are free of I/O: the caller passes in the time
+//! and the messages, and carries out the returned effects.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/stairvale-permit/src/mean.rs
+++ b/crates/stairvale-permit/src/mean.rs
@@ -1,34 +1,36 @@
-//! The mean load over a service's engines, as a home knows it: late, so used in its safe direction.
+//! The mean load over a service's engines, as received by a home.
+//!
+//! Reports arrive with a delay, so a home uses the lowest recent mean, which errs towards refusing.
 
 use std::{collections::VecDeque, time::Duration};
 
 use stairvale_types::{Moment, unit};
 
-/// A mean that was heard longer ago than this is not used; the home then knows only its own engines.
+/// Age beyond which a received mean is not used. The home then computes the mean from its own engines only.
 pub const MEAN_TTL: Duration = Duration::from_secs(2);
-/// Reports this recent are all considered, and the least is used.
+/// Age up to which all reports are considered; the lowest of their means is used.
 pub const MEAN_WINDOW: Duration = Duration::from_millis(150);
 
-/// One report: what the *other* homes' engines carried, and how many they are.
+/// A report of the load of the *other* homes' engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Report {
     at: Moment,
     sum: Sum,
 }
 
-/// What some engines carry together.
+/// The summed load of a set of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sum {
-    /// Outstanding requests.
+    /// Number of requests outstanding at the engines.
     pub outstanding: u64,
-    /// The engines.
+    /// Number of engines.
     pub engines: u32,
-    /// The fewest requests that wait for any of them.
+    /// Lowest number of requests queued for any of the engines.
     pub waiting: u32,
 }
 
 impl Sum {
-    /// Both together. Without engines nothing waits for any.
+    /// Adds the load of another set of engines. A set without engines doesn't count towards the lowest queue length.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         let waiting = match (self.engines, other.engines) {
@@ -39,8 +41,10 @@
         Self { outstanding: self.outstanding + other.outstanding, engines: self.engines + other.engines, waiting }
     }
 
-    /// The mean load. What waits for *every* engine counts as if it ran: all are raised by it together, so the mean is
-    /// that as soon as each has granted what the bound lets it.
+    /// Returns the mean load per engine.
+    ///
+    /// Requests queued at *every* engine count as if they were running. They raise the load of all engines alike, so
+    /// the mean reaches this value as soon as each engine has granted what the bound permits.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
     pub fn mean(self) -> f64 {
@@ -51,17 +55,18 @@
     }
 }
 
-/// The mean of a service.
+/// The mean load of a service.
 ///
-/// A grant raises the sum by one at once here, and elsewhere only with the next report. Taking the least of the recent
-/// reports errs towards refusing: the bound that is used is at most the bound that was true at one of these moments.
+/// A grant raises the sum at this home at once, but at other homes only with the next report. Using the lowest mean of
+/// the recent reports errs towards refusing: the resulting bound is at most the true bound at the time of one of these
+/// reports.
 #[derive(Clone, Debug, Default)]
 pub struct Mean {
     others: VecDeque<Report>,
 }
 
 impl Mean {
-    /// A report of what all other homes' engines carry came in.
+    /// Records a report of the load of all other homes' engines.
     pub fn report(&mut self, now: Moment, sum: Sum) {
         self.others.push_back(Report { at: now, sum });
         while self.others.len() > 1 && now.since(self.others[0].at) > MEAN_WINDOW {
@@ -69,7 +74,7 @@
         }
     }
 
-    /// The mean, given what this home's own engines carry now.
+    /// Returns the lowest recent mean, including the current load of this home's own engines.
     #[must_use]
     pub fn get(&self, now: Moment, own: Sum) -> f64 {
         let fresh = self.others.iter().filter(|report| now.since(report.at) <= MEAN_TTL);
@@ -77,14 +82,14 @@
         means.reduce(f64::min).unwrap_or_else(|| own.mean())
     }
 
-    /// The mean by the latest report alone, to count grants that a stale bound let through.
+    /// Returns the mean by the latest report alone, which serves to count grants that a stale bound allowed.
     #[must_use]
     pub fn latest(&self, now: Moment, own: Sum) -> f64 {
         let last = self.others.back().filter(|report| now.since(report.at) <= MEAN_TTL);
         last.map_or(own, |report| report.sum.plus(own)).mean()
     }
 
-    /// The most that an engine may carry.
+    /// Returns the load bound: the maximum number of requests that may be outstanding at one engine.
     #[must_use]
     pub fn bound(&self, now: Moment, multiple: unit::Multiple, own: Sum) -> u32 {
         multiple.bound(self.get(now, own))
--- a/crates/stairvale-permit/src/request.rs
+++ b/crates/stairvale-permit/src/request.rs
@@ -1,4 +1,4 @@
-//! A request's way as an entry sees it: what it wants, the steps it took, and what to do next.
+//! The types of the entry's interface: requests for an upstream, the steps they took, and the effects to carry out.
 
 use std::time::Duration;
 
@@ -6,143 +6,145 @@
 use stairvale_types::{Moment, Refusal, id};
 use stairvale_wire::{Ask, Held, Profile, Verdict};
 
-/// What an entry needs to know of the fleet.
+/// The state of the fleet that an entry depends on.
 pub trait Directory {
-    /// The home of an upstream; `rank` 0 is the first choice, 1 the router that takes over.
+    /// Returns the home of an upstream: for `rank` 0 the current one, for 1 its successor.
     fn home(&self, upstream: &id::Upstream, rank: usize) -> Option<id::Router>;
-    /// Whether an upstream may take new work from this router.
+    /// Returns whether an upstream may take new work from this router.
     fn usable(&self, upstream: &id::Upstream) -> bool;
-    /// The load that an upstream reported last, and how many of its slots this router may use without a home.
+    /// Returns the last reported load of an upstream, and how many of its slots this router may use without a reachable
+    /// home.
     fn share(&self, upstream: &id::Upstream) -> Option<Share>;
 }
 
-/// What a router may use of an upstream whose home it can't reach.
+/// The part of an upstream's slots that a router may use while it can't reach the upstream's home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// The load reported last.
+    /// Load that the upstream reported last, in outstanding requests.
     pub reported: u32,
-    /// All slots.
+    /// Total number of slots of the upstream.
     pub slots: u32,
-    /// Slots that this router may fill by itself.
+    /// Number of slots that this router may use without a permit.
     pub own: u32,
 }
 
-/// A request that wants an upstream.
+/// A request for which an entry needs an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Want {
-    /// The attempt.
+    /// Attempt to serve the request.
     pub attempt: id::Attempt,
-    /// What it is.
+    /// Service, customer, class and chat of the request.
     pub profile: Profile,
-    /// What waiting, rebuilding and moving cost; the deadline in it counts from now.
+    /// Estimated costs of waiting for the prefix, prefilling it again and transferring it. Its deadline counts from
+    /// now.
     pub estimate: choice::Estimate,
-    /// The upstreams in order of preference.
+    /// Upstreams that may serve the request, in order of preference.
     pub candidates: Vec<id::Upstream>,
 }
 
-/// A step on an attempt's way, for `explain`.
+/// A step in the course of an attempt, as shown by `explain`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Time of the step.
     pub at: Moment,
-    /// The upstream that was asked for.
+    /// Upstream that the step concerns.
     pub upstream: id::Upstream,
-    /// What came of it.
+    /// The event at this step.
     pub event: Event,
 }
 
-/// What came of asking for an upstream.
+/// An event in the course of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Its home was asked.
+    /// A permit was requested from the upstream's home.
     Asked {
-        /// The home.
+        /// Home that received the request.
         home: id::Router,
-        /// How long the ask may wait there.
+        /// How long the request may wait in the home's queue.
         patience: Duration,
     },
-    /// The home answered.
+    /// The home answered the permit request.
     Answered(Verdict),
-    /// The home didn't answer in time.
+    /// The home didn't answer the permit request in time.
     Unanswered,
-    /// The upstream may take no work in this router's view.
+    /// The upstream was skipped because it may take no new work according to this router's directory.
     PassedOver,
-    /// Taken without a home.
+    /// The upstream was used without a permit because no home was reached.
     Degraded,
 }
 
-/// What to do.
+/// An action that the caller of the entry has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask a home.
+    /// Request a permit from a home.
     Ask {
-        /// The home.
+        /// Home that owns the upstream's account.
         to: id::Router,
-        /// The ask.
+        /// Permit request to send.
         ask: Ask,
     },
-    /// Tell a home that an attempt no longer waits there.
+    /// Notify a home that an attempt no longer waits there.
     Forget {
-        /// The home.
+        /// Home that received the permit request.
         to: id::Router,
-        /// The upstream.
+        /// Upstream that the permit was requested for.
         upstream: id::Upstream,
-        /// The attempt.
+        /// Attempt that no longer waits.
         attempt: id::Attempt,
     },
-    /// Give a permit back.
+    /// Release a permit.
     Release {
-        /// The home.
+        /// Home that owns the upstream's account now.
         to: id::Router,
-        /// The upstream.
+        /// Upstream that the permit was granted for.
         upstream: id::Upstream,
-        /// The attempt.
+        /// Attempt that held the permit.
         attempt: id::Attempt,
     },
-    /// Tell all that is held of a home.
+    /// Renew all permits that are held of a home.
     Renew {
-        /// The home.
+        /// Home that receives the renewal.
         to: id::Router,
-        /// What is held.
+        /// All permits held of this home, by upstream.
         held: Vec<Held>,
     },
-    /// Tell the first choice's home where a chat's prefix goes.
+    /// Notify the home of a chat's first choice that the chat's prefix moves.
     Moved {
-        /// The home.
+        /// Home of the chat's first choice.
         to: id::Router,
-        /// The chat.
+        /// Chat whose prefix moves.
         chat: id::Chat,
-        /// The first choice.
+        /// First choice of the chat.
         first: id::Upstream,
-        /// Where it goes.
+        /// Upstream that holds the prefix from now on.
         upstream: id::Upstream,
     },
-    /// The attempt may use an upstream.
+    /// Start the attempt at the granted upstream.
     Granted(Grant),
-    /// The attempt is refused.
+    /// Refuse the attempt.
     Refused {
-        /// The attempt.
+        /// Attempt that is refused.
         attempt: id::Attempt,
-        /// Why.
+        /// Reason and retry delay for the caller.
         refusal: Refusal,
-        /// How it came to that.
+        /// Steps that led to the refusal.
         steps: Vec<Step>,
     },
 }
 
-/// A granted attempt.
+/// Permission for an attempt to use an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// The attempt.
+    /// Attempt that may start.
     pub attempt: id::Attempt,
-    /// The upstream.
+    /// Upstream that the attempt may use.
     pub upstream: id::Upstream,
-    /// Where the chat's prefix is believed to be, if it is worth moving from there.
+    /// Upstream that presumably holds the chat's prefix, if importing it from there is worthwhile.
     pub import_from: Option<id::Upstream>,
-    /// Whether no home was reached.
+    /// Whether no home was reached, so that the attempt has no permit.
     pub degraded: bool,
-    /// Whether the customer is over its share there, so that the engine should serve others first.
+    /// Whether the customer is over its share of the upstream, so that the engine should serve other customers first.
     pub over_share: bool,
-    /// How it came to that.
+    /// Steps that led to the grant.
     pub steps: Vec<Step>,
 }
--- a/crates/stairvale-permit/src/rules.rs
+++ b/crates/stairvale-permit/src/rules.rs
@@ -1,44 +1,45 @@
-//! How engines are granted, and what a home answers and counts.
+//! The rules by which a home grants permits, its answers and its counters.
 
 use serde::Serialize;
 use stairvale_types::{id, unit};
 use stairvale_wire::Verdict;
 
-/// How a service's engines are granted.
+/// Rules for granting permits for the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// The service.
+    /// Service that the rules apply to.
     pub service: id::Service,
-    /// Requests that one engine bears at once.
+    /// Number of requests that one engine can run concurrently.
     pub slots: u32,
-    /// The set multiple of the mean; `None` only in the baselines that are compared against.
+    /// Load multiple: the load bound of an engine as a multiple of the mean load. `None` sets no bound besides the
+    /// slots; only the baseline policies that serve for comparison use it.
     pub multiple: Option<unit::Multiple>,
-    /// Requests that wait at the home.
+    /// Maximum number of requests queued at the home for one engine.
     pub queue: usize,
 }
 
 impl Rules {
-    /// Rules of a service with 16 slots, no bound and a queue of 64.
+    /// Creates rules for a service with 16 slots, no load bound and a queue capacity of 64.
     #[must_use]
     pub fn new(service: id::Service) -> Self {
         Self { service, slots: 16, multiple: None, queue: 64 }
     }
 
-    /// Sets the bound.
+    /// Sets the load multiple, and with it the load bound.
     #[must_use]
     pub fn with_multiple(mut self, multiple: unit::Multiple) -> Self {
         self.multiple = Some(multiple);
         self
     }
 
-    /// Sets the slots.
+    /// Sets the number of requests that one engine can run concurrently.
     #[must_use]
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets the queue's length.
+    /// Sets the queue capacity of one engine.
     #[must_use]
     pub fn with_queue(mut self, queue: usize) -> Self {
         self.queue = queue;
@@ -46,37 +47,38 @@
     }
 }
 
-/// An answer to send to an entry.
+/// An answer to a permit request, to be sent to the entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The entry.
+    /// Entry router that receives the answer.
     pub to: id::Router,
-    /// The engine that was asked for.
+    /// Engine for which the permit was requested.
     pub upstream: id::Upstream,
-    /// The attempt.
+    /// Attempt for which the permit was requested.
     pub attempt: id::Attempt,
-    /// What was decided.
+    /// The home's decision.
     pub verdict: Verdict,
 }
 
-/// What a home counted since its start.
+/// Counters of a home since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Permits granted.
+    /// Number of permits granted.
     pub granted: u64,
-    /// Grants above the bound by the latest mean; a stale mean let them through.
+    /// Number of grants above the bound by the latest mean, which a stale mean allowed.
     pub over_bound: u64,
-    /// Asks sent on to another engine.
+    /// Number of requests redirected to another engine.
     pub overflowed: u64,
-    /// Asks that had to wait.
+    /// Number of requests that were queued.
     pub queued: u64,
-    /// Asks refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Permits dropped because nobody renewed them.
+    /// Number of permits that expired without a renewal.
     pub aged: u64,
-    /// Times that this home found itself paused and started its accounts anew.
+    /// Number of times that this home restarted its accounts after detecting that its process was paused.
     pub distrusted: u64,
-    /// Broken invariants: any but zero is a fault of the program. A node shows them together with its other parts'.
+    /// Number of invariant violations: any value but zero is a bug. It isn't serialised here, since a node reports the
+    /// sum over all its components.
     #[serde(skip)]
     pub violations: u64,
 }
--- a/crates/stairvale-permit/tests/entry.rs
+++ b/crates/stairvale-permit/tests/entry.rs
@@ -1,4 +1,4 @@
-//! The entry finds its way from engine to engine, and gives back whatever it doesn't use.
+//! Tests that the entry tries engines in the right order, and that it releases every permit it doesn't use.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -12,14 +12,14 @@
 use sample::profile;
 use stairvale_permit::{
     Entry,
-    entry::{ASK_TIMEOUT, RENEW_EVERY},
+    entry::{PERMIT_REQUEST_TIMEOUT, RENEW_INTERVAL},
     request::{Directory, Effect, Share, Want},
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Moment, Reason, Refusal, id};
 use stairvale_wire::{Ask, Profile, Verdict};
 
-/// Three engines with a home each, and who takes over.
+/// A fleet of three engines, each with its home and the home's successor.
 struct Fleet {
     homes: HashMap<String, [&'static str; 2]>,
     closed: HashSet<String>,
@@ -48,7 +48,7 @@
     }
 }
 
-fn want(attempt: u128, returning: bool) -> Want {
+fn request(attempt: u128, returning: bool) -> Want {
     Want {
         attempt: id::Attempt(attempt),
         profile: Profile { returning, ..profile() },
@@ -62,14 +62,14 @@
     }
 }
 
-fn asked(effects: &[Effect]) -> Option<(String, &Ask)> {
+fn find_ask(effects: &[Effect]) -> Option<(String, &Ask)> {
     effects.iter().find_map(|effect| match effect {
         Effect::Ask { to, ask } => Some((to.to_string(), ask)),
         _ => None,
     })
 }
 
-fn granted(effects: &[Effect]) -> Option<&stairvale_permit::request::Grant> {
+fn find_grant(effects: &[Effect]) -> Option<&stairvale_permit::request::Grant> {
     effects.iter().find_map(|effect| match effect {
         Effect::Granted(grant) => Some(grant),
         _ => None,
@@ -79,18 +79,18 @@
 const NOW: Moment = Moment::from_millis(5_000);
 const GRANT: Verdict = Verdict::Granted { outstanding: 1, over_share: false };
 
-struct Bench {
+struct Setup {
     entry: Entry,
     fleet: Fleet,
 }
 
-impl Bench {
+impl Setup {
     fn new() -> Self {
         Self { entry: Entry::new(), fleet: Fleet::new() }
     }
 
     fn want(&mut self, returning: bool) -> Vec<Effect> {
-        self.entry.want(NOW, &self.fleet, want(1, returning))
+        self.entry.want(NOW, &self.fleet, request(1, returning))
     }
 
     fn answer(&mut self, from: &str, engine: &str, verdict: Verdict) -> Vec<Effect> {
@@ -100,150 +100,153 @@
 }
 
 #[test]
-fn a_grant_is_used_and_given_back_at_the_end() {
-    let mut bench = Bench::new();
-    let effects = bench.want(false);
-    let (home, ask) = asked(&effects).unwrap();
+fn a_granted_permit_is_released_when_the_attempt_ends() {
+    let mut setup = Setup::new();
+    let effects = setup.want(false);
+    let (home, ask) = find_ask(&effects).unwrap();
     assert_eq!((home.as_str(), ask.upstream.as_str()), ("h0", "e0"));
-    let effects = bench.answer("h0", "e0", GRANT);
-    assert_eq!(granted(&effects).unwrap().upstream.as_str(), "e0");
-    let effects = bench.entry.end(id::Attempt(1));
+    let effects = setup.answer("h0", "e0", GRANT);
+    assert_eq!(find_grant(&effects).unwrap().upstream.as_str(), "e0");
+    let effects = setup.entry.end(id::Attempt(1));
     assert!(matches!(&effects[..], [Effect::Release { to, .. }] if to.as_str() == "h0"));
-    assert_eq!(bench.entry.holding(), 0);
+    assert_eq!(setup.entry.holding(), 0);
 }
 
 #[test]
-fn a_late_grant_is_returned_at_once() {
-    let mut bench = Bench::new();
-    bench.want(false);
-    let effects = bench.entry.end(id::Attempt(1));
+fn a_late_grant_is_released_at_once() {
+    let mut setup = Setup::new();
+    setup.want(false);
+    let effects = setup.entry.end(id::Attempt(1));
     assert!(matches!(&effects[..], [Effect::Forget { .. }]));
-    let effects = bench.answer("h0", "e0", GRANT);
+    let effects = setup.answer("h0", "e0", GRANT);
     assert!(matches!(&effects[..], [Effect::Release { .. }]));
-    assert_eq!(bench.entry.counts().late, 1);
+    assert_eq!(setup.entry.counts().late, 1);
 }
 
 #[test]
-fn a_grant_of_a_home_that_is_no_longer_asked_is_returned() {
-    let mut bench = Bench::new();
-    bench.want(false);
-    bench.fleet.homes.insert("e0".into(), ["h1", "h2"]);
-    let effects = bench.entry.homes_changed(NOW, &bench.fleet);
-    assert_eq!(asked(&effects).unwrap().0, "h1");
-    let effects = bench.answer("h0", "e0", GRANT);
+fn a_grant_from_a_former_home_is_released() {
+    let mut setup = Setup::new();
+    setup.want(false);
+    setup.fleet.homes.insert("e0".into(), ["h1", "h2"]);
+    let effects = setup.entry.homes_changed(NOW, &setup.fleet);
+    assert_eq!(find_ask(&effects).unwrap().0, "h1");
+    let effects = setup.answer("h0", "e0", GRANT);
     assert!(matches!(&effects[..], [Effect::Release { to, .. }] if to.as_str() == "h0"));
-    assert!(granted(&bench.answer("h1", "e0", GRANT)).is_some());
+    assert!(find_grant(&setup.answer("h1", "e0", GRANT)).is_some());
 }
 
 #[test]
-fn a_doubled_grant_changes_nothing() {
-    let mut bench = Bench::new();
-    bench.want(false);
-    bench.answer("h0", "e0", GRANT);
-    assert!(bench.answer("h0", "e0", GRANT).is_empty());
-    assert_eq!(bench.entry.holding(), 1);
+fn a_duplicate_grant_has_no_effect() {
+    let mut setup = Setup::new();
+    setup.want(false);
+    setup.answer("h0", "e0", GRANT);
+    assert!(setup.answer("h0", "e0", GRANT).is_empty());
+    assert_eq!(setup.entry.holding(), 1);
 }
 
 #[test]
-fn an_overflow_goes_down_the_ranked_list_and_the_first_home_learns_of_it() {
-    let mut bench = Bench::new();
-    bench.want(true);
-    let effects = bench.answer("h0", "e0", Verdict::Overflow { emptiest: vec!["e2".parse().unwrap()] });
-    let (_, ask) = asked(&effects).unwrap();
+fn an_overflow_tries_the_next_ranked_engine_and_notifies_the_first_choices_home() {
+    let mut setup = Setup::new();
+    setup.want(true);
+    let effects = setup.answer("h0", "e0", Verdict::Overflow { emptiest: vec!["e2".parse().unwrap()] });
+    let (_, ask) = find_ask(&effects).unwrap();
     assert_eq!((ask.upstream.as_str(), ask.patience), ("e1", Duration::ZERO));
-    let effects = bench.answer("h1", "e1", GRANT);
+    let effects = setup.answer("h1", "e1", GRANT);
     let moved = effects.iter().any(|effect| matches!(effect, Effect::Moved { to, upstream, .. } if to.as_str() == "h0" && upstream.as_str() == "e1"));
     assert!(moved, "{effects:?}");
     assert_eq!(
-        granted(&effects).unwrap().import_from.as_ref().unwrap().as_str(),
+        find_grant(&effects).unwrap().import_from.as_ref().unwrap().as_str(),
         "e0",
-        "moving is cheaper than rebuilding"
+        "a transfer is cheaper than prefilling again"
     );
 }
 
 #[test]
-fn after_the_list_come_the_emptiest_and_then_a_last_resort() {
-    let mut bench = Bench::new();
-    bench.want(false);
+fn the_emptiest_engine_and_a_last_resort_follow_the_ranked_list() {
+    let mut setup = Setup::new();
+    setup.want(false);
     let full = || Verdict::Overflow { emptiest: vec!["e2".parse().unwrap()] };
-    bench.answer("h0", "e0", full());
-    let effects = bench.answer("h1", "e1", full());
-    assert_eq!(asked(&effects).unwrap().1.upstream.as_str(), "e2");
-    let effects = bench.answer("h2", "e2", full());
-    let (_, ask) = asked(&effects).unwrap();
+    setup.answer("h0", "e0", full());
+    let effects = setup.answer("h1", "e1", full());
+    assert_eq!(find_ask(&effects).unwrap().1.upstream.as_str(), "e2");
+    let effects = setup.answer("h2", "e2", full());
+    let (_, ask) = find_ask(&effects).unwrap();
     assert_eq!(ask.upstream.as_str(), "e0");
-    assert_eq!(ask.patience, ask.deadline, "now it waits as long as it may");
+    assert_eq!(ask.patience, ask.deadline, "a last resort waits up to its deadline");
 }
 
 #[test]
-fn an_exception_leads_to_where_the_prefix_is() {
-    let mut bench = Bench::new();
-    bench.want(true);
-    let effects = bench.answer("h0", "e0", Verdict::Elsewhere { upstream: "e2".parse().unwrap() });
-    let (home, ask) = asked(&effects).unwrap();
+fn an_exception_redirects_to_the_engine_with_the_prefix() {
+    let mut setup = Setup::new();
+    setup.want(true);
+    let effects = setup.answer("h0", "e0", Verdict::Elsewhere { upstream: "e2".parse().unwrap() });
+    let (home, ask) = find_ask(&effects).unwrap();
     assert_eq!((home.as_str(), ask.upstream.as_str()), ("h2", "e2"));
-    assert!(ask.patience > Duration::ZERO, "the prefix there is worth a wait");
-    let effects = bench.answer("h2", "e2", GRANT);
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Moved { .. })), "the first home knows it already");
+    assert!(ask.patience > Duration::ZERO, "waiting for the prefix there is worthwhile");
+    let effects = setup.answer("h2", "e2", GRANT);
+    assert!(
+        !effects.iter().any(|effect| matches!(effect, Effect::Moved { .. })),
+        "the first choice's home has recorded it already"
+    );
 }
 
 #[test]
-fn a_silent_home_is_replaced_by_the_next_and_then_by_a_bounded_share() {
-    let mut bench = Bench::new();
-    bench.want(false);
-    let effects = bench.entry.tick(NOW + ASK_TIMEOUT, &bench.fleet);
-    assert_eq!(asked(&effects).unwrap().0, "h1");
-    bench.fleet.share = Some(Share { reported: 3, slots: 8, own: 1 });
-    let effects = bench.entry.tick(NOW + ASK_TIMEOUT * 2, &bench.fleet);
-    assert!(granted(&effects).unwrap().degraded);
-    // The share is used up, so the next request goes on to other engines.
-    let next = bench.entry.want(NOW, &bench.fleet, want(2, false));
-    assert!(asked(&next).is_some());
-    bench.entry.tick(NOW + ASK_TIMEOUT * 3, &bench.fleet);
-    let effects = bench.entry.tick(NOW + ASK_TIMEOUT * 6, &bench.fleet);
-    assert_eq!(asked(&effects).unwrap().1.upstream.as_str(), "e1");
+fn an_unresponsive_home_is_replaced_by_its_successor_and_then_by_a_bounded_share() {
+    let mut setup = Setup::new();
+    setup.want(false);
+    let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT, &setup.fleet);
+    assert_eq!(find_ask(&effects).unwrap().0, "h1");
+    setup.fleet.share = Some(Share { reported: 3, slots: 8, own: 1 });
+    let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 2, &setup.fleet);
+    assert!(find_grant(&effects).unwrap().degraded);
+    // The share is used up, so the next request falls through to other engines.
+    let next = setup.entry.want(NOW, &setup.fleet, request(2, false));
+    assert!(find_ask(&next).is_some());
+    setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 3, &setup.fleet);
+    let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 6, &setup.fleet);
+    assert_eq!(find_ask(&effects).unwrap().1.upstream.as_str(), "e1");
 }
 
 #[test]
-fn not_home_is_followed_once() {
-    let mut bench = Bench::new();
-    bench.want(false);
-    let effects = bench.answer("h0", "e0", Verdict::NotHome { home: Some("h9".parse().unwrap()) });
-    assert_eq!(asked(&effects).unwrap().0, "h9");
-    assert!(granted(&bench.answer("h9", "e0", GRANT)).is_some());
+fn a_not_home_answer_is_followed_once() {
+    let mut setup = Setup::new();
+    setup.want(false);
+    let effects = setup.answer("h0", "e0", Verdict::NotHome { home: Some("h9".parse().unwrap()) });
+    assert_eq!(find_ask(&effects).unwrap().0, "h9");
+    assert!(find_grant(&setup.answer("h9", "e0", GRANT)).is_some());
 }
 
 #[test]
-fn closed_engines_are_passed_over_and_with_none_left_the_answer_is_final() {
-    let mut bench = Bench::new();
-    bench.fleet.closed = ["e0".to_owned(), "e1".to_owned()].into();
-    let effects = bench.want(false);
-    assert_eq!(asked(&effects).unwrap().1.upstream.as_str(), "e2");
-    bench.entry.end(id::Attempt(1));
-    bench.fleet.closed.insert("e2".into());
-    let effects = bench.want(false);
+fn unusable_engines_are_skipped_and_without_any_other_the_request_is_refused() {
+    let mut setup = Setup::new();
+    setup.fleet.closed = ["e0".to_owned(), "e1".to_owned()].into();
+    let effects = setup.want(false);
+    assert_eq!(find_ask(&effects).unwrap().1.upstream.as_str(), "e2");
+    setup.entry.end(id::Attempt(1));
+    setup.fleet.closed.insert("e2".into());
+    let effects = setup.want(false);
     assert!(matches!(&effects[..], [Effect::Refused { refusal, .. }] if refusal.reason == Reason::NoUpstream));
 }
 
 #[test]
-fn a_refusal_is_passed_on_at_once() {
-    let mut bench = Bench::new();
-    bench.want(false);
+fn a_refusal_is_returned_at_once() {
+    let mut setup = Setup::new();
+    setup.want(false);
     let refusal = Refusal::new(Reason::Busy, Duration::from_secs(1));
-    let effects = bench.answer("h0", "e0", Verdict::Refused(refusal));
+    let effects = setup.answer("h0", "e0", Verdict::Refused(refusal));
     assert!(matches!(&effects[..], [Effect::Refused { refusal: passed, .. }] if *passed == refusal));
-    assert_eq!(bench.entry.asking(), 0);
+    assert_eq!(setup.entry.asking(), 0);
 }
 
 #[test]
-fn what_is_held_is_renewed_in_one_frame_a_home() {
-    let mut bench = Bench::new();
+fn held_permits_are_renewed_in_one_frame_per_home() {
+    let mut setup = Setup::new();
     for attempt in 1..=5 {
-        bench.entry.want(NOW, &bench.fleet, want(attempt, false));
+        setup.entry.want(NOW, &setup.fleet, request(attempt, false));
         let (from, engine) = ("h0".parse().unwrap(), "e0".parse().unwrap());
-        bench.entry.answer(NOW, &bench.fleet, &from, &engine, id::Attempt(attempt), GRANT);
+        setup.entry.answer(NOW, &setup.fleet, &from, &engine, id::Attempt(attempt), GRANT);
     }
-    let effects = bench.entry.tick(NOW + RENEW_EVERY, &bench.fleet);
+    let effects = setup.entry.tick(NOW + RENEW_INTERVAL, &setup.fleet);
     let [Effect::Renew { held, .. }] = &effects[..] else {
         panic!("{effects:?}");
     };
@@ -251,24 +254,24 @@
 }
 
 #[test]
-fn where_no_home_and_no_room_is_left_the_request_is_refused_at_once() {
-    // As at the last router of a fleet, while it stops: every engine is usable, and none has a home.
-    let mut bench = Bench::new();
-    bench.fleet.homes.clear();
-    let effects = bench.want(true);
+fn a_request_without_any_home_or_share_is_refused_at_once() {
+    // This is the state of the last router of a fleet while it stops: every engine is usable, but none has a home.
+    let mut setup = Setup::new();
+    setup.fleet.homes.clear();
+    let effects = setup.want(true);
     assert!(matches!(effects[..], [Effect::Refused { .. }]), "{effects:?}");
-    assert_eq!(bench.entry.asking(), 0);
+    assert_eq!(setup.entry.asking(), 0);
 }
 
 #[test]
 fn a_hint_to_an_engine_that_failed_the_request_is_not_followed() {
-    let mut bench = Bench::new();
-    let mut retry = want(1, true);
+    let mut setup = Setup::new();
+    let mut retry = request(1, true);
     retry.candidates.retain(|engine| engine.as_str() != "e0");
-    bench.entry.want(NOW, &bench.fleet, retry);
-    // The first choice's home remembers that the prefix is at the engine that refused just now.
-    let effects = bench.answer("h1", "e1", Verdict::Elsewhere { upstream: "e0".parse().unwrap() });
-    let (home, ask) = asked(&effects).unwrap();
+    setup.entry.want(NOW, &setup.fleet, retry);
+    // The home has recorded that the prefix is at the engine that has just failed the request.
+    let effects = setup.answer("h1", "e1", Verdict::Elsewhere { upstream: "e0".parse().unwrap() });
+    let (home, ask) = find_ask(&effects).unwrap();
     assert_eq!((home.as_str(), ask.upstream.as_str()), ("h1", "e1"));
-    assert!(!ask.profile.returning, "the home must not send it there again");
+    assert!(!ask.profile.returning, "the home must not redirect to the failed engine again");
 }
--- a/crates/stairvale-permit/tests/home.rs
+++ b/crates/stairvale-permit/tests/home.rs
@@ -1,4 +1,5 @@
-//! The home grants only under the bound, whatever comes doubled, late or after a change of home.
+//! Tests that the home grants permits only below the load bound, even with duplicate or late messages and after a
+//! change of home.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -39,8 +40,8 @@
     home
 }
 
-/// A home of one engine with so many slots: alone, it is the mean, so only its slots bound it.
-fn lone(slots: u32) -> Home {
+/// A home of a single engine, whose load is the mean itself, so that only its slots limit it.
+fn single_engine(slots: u32) -> Home {
     let mut home = Home::new(router("home"));
     home.adopt(Moment::ZERO, upstream("e0"), rules().with_slots(slots), Some(0));
     home
@@ -57,7 +58,7 @@
     }
 }
 
-/// An ask of a customer for the first engine.
+/// A request of the given customer for the engine `e0`.
 fn ask_of(attempt: u128, customer: &str, patience_ms: u64) -> Ask {
     let profile = Profile { customer: customer.parse().unwrap(), ..profile() };
     Ask { profile, ..ask(attempt, "e0", patience_ms) }
@@ -71,23 +72,23 @@
     answers.iter().map(|answer| &answer.verdict).collect()
 }
 
-fn is_granted(answers: &[Answer]) -> bool {
+fn is_grant(answers: &[Answer]) -> bool {
     matches!(verdicts(answers)[..], [Verdict::Granted { .. }])
 }
 
 #[test]
-fn the_bound_follows_the_mean() {
+fn the_bound_is_a_multiple_of_the_mean() {
     let mut home = home(2);
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
-    // Mean 0.5 of two engines: one each at the most.
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
+    // The mean of the two engines is 0.5, so the bound is one request each.
     let second = home.ask(SETTLED, &router("r"), ask(2, "e0", 0));
     assert!(matches!(verdicts(&second)[..], [Verdict::Overflow { .. }]));
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask(3, "e1", 0))));
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask(4, "e0", 0))), "mean 1, bound 2");
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask(3, "e1", 0))));
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask(4, "e0", 0))), "mean 1, bound 2");
 }
 
 #[test]
-fn the_mean_of_others_counts_and_the_least_recent_one_is_used() {
+fn the_lowest_recent_mean_of_the_other_homes_is_used() {
     let mut mean = Mean::default();
     let multiple: unit::Multiple = "1.25".parse().unwrap();
     mean.report(SETTLED, sum(100, 10, 0));
@@ -98,26 +99,34 @@
     assert_eq!(
         mean.bound(SETTLED + Duration::from_millis(200), multiple, Sum::default()),
         5,
-        "a late mean errs to the safe side"
+        "a lower recent mean errs towards refusing"
     );
     let later = SETTLED + Duration::from_secs(5);
-    assert_eq!(mean.bound(later, multiple, sum(4, 2, 0)), 3, "an old mean is not used at all");
+    assert_eq!(mean.bound(later, multiple, sum(4, 2, 0)), 3, "an outdated mean is not used");
 }
 
 #[test]
-fn what_waits_for_every_engine_raises_the_bound_at_once() {
+fn requests_queued_at_every_engine_raise_the_bound_at_once() {
     let mut mean = Mean::default();
     let multiple: unit::Multiple = "1.25".parse().unwrap();
     mean.report(SETTLED, sum(20, 10, 6));
-    assert_eq!(mean.bound(SETTLED, multiple, sum(4, 2, 0)), 3, "here nothing waits, so only what runs counts");
-    assert_eq!(mean.bound(SETTLED, multiple, sum(4, 2, 3)), 7, "three wait for each: mean 2 and 3");
+    assert_eq!(
+        mean.bound(SETTLED, multiple, sum(4, 2, 0)),
+        3,
+        "nothing is queued here, so only running requests count"
+    );
+    assert_eq!(
+        mean.bound(SETTLED, multiple, sum(4, 2, 3)),
+        7,
+        "at least three are queued at each engine: mean 2 plus 3"
+    );
 }
 
 #[test]
-fn a_doubled_ask_gets_one_permit() {
+fn a_duplicate_request_gets_one_permit() {
     let mut home = home(1);
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask(1, "e0", 0))));
     assert_eq!(home.outstanding(&upstream("e0")), Some(1));
     home.release(SETTLED, &router("r"), &upstream("e0"), &[id::Attempt(1)]);
     home.release(SETTLED, &router("r"), &upstream("e0"), &[id::Attempt(1)]);
@@ -125,7 +134,7 @@
 }
 
 #[test]
-fn nobody_releases_anothers_permit() {
+fn an_entry_cannot_release_the_permit_of_another() {
     let mut home = home(1);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     home.release(SETTLED, &router("other"), &upstream("e0"), &[id::Attempt(1)]);
@@ -137,18 +146,22 @@
     let mut home = Home::new(router("home"));
     home.adopt(Moment::ZERO, upstream("e0"), rules().with_slots(3), None);
     let early = Moment::from_millis(10);
-    assert!(!is_granted(&home.ask(early, &router("r"), ask(1, "e0", 0))), "nothing is known yet");
+    assert!(!is_grant(&home.ask(early, &router("r"), ask(1, "e0", 0))), "the load is not determined yet");
     home.report(early, &upstream("e0"), 3);
-    assert!(!is_granted(&home.ask(early, &router("r"), ask(2, "e0", 0))), "three run there, by its own word");
+    assert!(!is_grant(&home.ask(early, &router("r"), ask(2, "e0", 0))), "the engine reports three running requests");
     let held = vec![Held { upstream: upstream("e0"), attempts: vec![id::Attempt(90), id::Attempt(91)] }];
     home.renew(early, &router("r"), &held);
     assert_eq!(home.outstanding(&upstream("e0")), Some(2));
     let settled = Moment::ZERO + SETTLE;
-    assert_eq!(home.load(settled, &"chat".parse().unwrap()).outstanding, 2, "once settled, entries' word counts");
+    assert_eq!(
+        home.load(settled, &"chat".parse().unwrap()).outstanding,
+        2,
+        "once settled, the registered permits count"
+    );
 }
 
 #[test]
-fn permits_that_nobody_renews_age() {
+fn permits_without_renewals_expire() {
     let mut home = home(1);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     home.tick(SETTLED + PERMIT_TTL / 2);
@@ -159,44 +172,47 @@
 }
 
 #[test]
-fn a_release_that_was_lost_shows_in_the_renewals() {
+fn a_lost_release_is_detected_by_the_renewals() {
     let mut home = home(1);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     let later = SETTLED + Duration::from_secs(2);
     home.renew(later, &router("r"), &[]);
-    assert_eq!(home.outstanding(&upstream("e0")), Some(1), "one renewal may have crossed the grant");
+    assert_eq!(home.outstanding(&upstream("e0")), Some(1), "one renewal may have been sent before the grant arrived");
     home.renew(later, &router("r"), &[]);
     assert_eq!(home.outstanding(&upstream("e0")), Some(0));
 }
 
 #[test]
-fn a_distrusting_home_starts_with_empty_accounts() {
-    let mut home = lone(1);
+fn a_paused_home_restarts_with_empty_accounts() {
+    let mut home = single_engine(1);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     home.ask(SETTLED, &router("r"), ask(2, "e0", 500));
     let answers = home.distrust(SETTLED);
-    assert!(matches!(verdicts(&answers)[..], [Verdict::NotHome { .. }]), "who waited is told to ask anew");
-    assert_eq!(home.outstanding(&upstream("e0")), Some(0), "entries will tell what they hold");
-    assert!(!is_granted(&home.ask(SETTLED, &router("r"), ask(3, "e0", 0))), "nothing is known of the load any more");
+    assert!(
+        matches!(verdicts(&answers)[..], [Verdict::NotHome { .. }]),
+        "the queued request is sent back, to be requested again"
+    );
+    assert_eq!(home.outstanding(&upstream("e0")), Some(0), "the entries register what they hold");
+    assert!(!is_grant(&home.ask(SETTLED, &router("r"), ask(3, "e0", 0))), "the load is not determined any more");
 }
 
 #[test]
-fn a_wait_for_a_prefix_ends_in_a_grant_or_in_time() {
-    let mut home = lone(2);
+fn a_wait_for_a_prefix_ends_with_a_grant_or_a_time_out() {
+    let mut home = single_engine(2);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     home.ask(SETTLED, &router("r"), ask(2, "e0", 0));
-    assert!(home.ask(SETTLED, &router("r"), ask(3, "e0", 200)).is_empty(), "it waits");
+    assert!(home.ask(SETTLED, &router("r"), ask(3, "e0", 200)).is_empty(), "the request is queued");
     let answers = home.release(SETTLED, &router("r"), &upstream("e0"), &[id::Attempt(1)]);
-    assert!(is_granted(&answers));
+    assert!(is_grant(&answers));
     assert!(home.ask(SETTLED, &router("r"), ask(4, "e0", 200)).is_empty());
     let answers = home.tick(SETTLED + Duration::from_millis(200));
     assert!(matches!(verdicts(&answers)[..], [Verdict::Overflow { .. }]));
 }
 
 #[test]
-fn what_cannot_be_served_in_time_is_refused_at_once() {
-    let mut home = lone(1);
-    // Each permit is held for a second.
+fn a_request_that_cannot_be_served_in_time_is_refused_at_once() {
+    let mut home = single_engine(1);
+    // Each permit is held for a second, from which the home predicts waits.
     for attempt in 0..20 {
         let at = SETTLED + Duration::from_secs(attempt);
         home.ask(at, &router("r"), ask(attempt.into(), "e0", 0));
@@ -204,8 +220,8 @@
     }
     let now = SETTLED + Duration::from_secs(30);
     home.ask(now, &router("r"), ask(100, "e0", 0));
-    let hurried = Ask { deadline: Duration::from_millis(100), ..ask(102, "e0", 100) };
-    let answers = home.ask(now, &router("r"), hurried);
+    let urgent = Ask { deadline: Duration::from_millis(100), ..ask(102, "e0", 100) };
+    let answers = home.ask(now, &router("r"), urgent);
     let [Verdict::Refused(refusal)] = verdicts(&answers)[..] else {
         panic!("{answers:?}");
     };
@@ -215,34 +231,34 @@
 
 #[test]
 fn a_full_queue_refuses_at_once() {
-    let mut home = lone(2);
+    let mut home = single_engine(2);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
-    let patient = |attempt| ask(attempt, "e0", 10_000);
-    let answers: Vec<_> = (2..10).flat_map(|attempt| home.ask(SETTLED, &router("r"), patient(attempt))).collect();
+    let last_resort = |attempt| ask(attempt, "e0", 10_000);
+    let answers: Vec<_> = (2..10).flat_map(|attempt| home.ask(SETTLED, &router("r"), last_resort(attempt))).collect();
     let refused =
         answers.iter().filter(|answer| matches!(&answer.verdict, Verdict::Refused(r) if r.reason == Reason::Busy));
-    assert_eq!(refused.count(), 3, "one more runs, four wait, the others are refused now");
+    assert_eq!(refused.count(), 3, "one more is granted, four are queued, the others are refused at once");
 }
 
 #[test]
-fn an_exception_is_told_and_forgotten_when_the_chat_comes_back() {
+fn an_exception_is_returned_and_removed_when_the_chat_runs_at_its_first_choice() {
     let mut home = home(2);
     let (first, other) = (upstream("e0"), upstream("e1"));
     home.moved(SETTLED, id::Chat(7), &first, &other);
     let answers = home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     assert_eq!(verdicts(&answers), [&Verdict::Elsewhere { upstream: other.clone() }]);
-    // The other was busy, so the entry asks here again, knowing of the exception.
+    // The other engine was busy, so the entry requests here again and marks that it has received the exception.
     let again = {
         let ask = ask(1, "e0", 0);
         Ask { profile: Profile { returning: false, ..ask.profile.clone() }, ..ask }
     };
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), again)));
-    assert_eq!(home.exceptions().0, 0, "its prefix is at the first choice from now on");
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), again)));
+    assert_eq!(home.exceptions().0, 0, "the prefix is cached at the first choice from now on");
 }
 
 #[test]
-fn closing_an_engine_sends_on_all_that_waits() {
-    let mut home = lone(2);
+fn closing_an_engine_redirects_all_queued_requests() {
+    let mut home = single_engine(2);
     home.ask(SETTLED, &router("r"), ask(1, "e0", 0));
     home.ask(SETTLED, &router("r"), ask(2, "e0", 0));
     home.ask(SETTLED, &router("r"), ask(3, "e0", 500));
@@ -252,14 +268,14 @@
 }
 
 #[test]
-fn a_surge_shows_before_it_fills_its_share_of_the_slots() {
-    let mut home = lone(32);
+fn a_burst_is_detected_before_it_fills_its_share_of_the_slots() {
+    let mut home = single_engine(32);
     let of = |attempt, customer| ask_of(attempt, customer, 0);
     for (attempt, customer) in [(100, "a"), (101, "b"), (102, "c")] {
         home.ask(SETTLED, &router("r"), of(attempt, customer));
     }
-    // Its share of the slots is eight; while ten requests run, twice its share of the bound is less.
-    let answers = (0..7).flat_map(|attempt| home.ask(SETTLED, &router("r"), of(attempt, "surge")));
+    // The customer's share of the slots is eight. While ten requests run, its share of twice the bound is less.
+    let answers = (0..7).flat_map(|attempt| home.ask(SETTLED, &router("r"), of(attempt, "burst")));
     let over: Vec<_> =
         answers.map(|answer| matches!(answer.verdict, Verdict::Granted { over_share: true, .. })).collect();
     assert_eq!(over.first(), Some(&false));
@@ -267,32 +283,32 @@
 }
 
 #[test]
-fn what_is_left_to_others_is_theirs_at_once_though_a_surge_waits() {
-    let mut home = lone(8);
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), ask_of(100, "other", 0))));
+fn reserved_slots_are_granted_to_other_customers_at_once_while_a_burst_is_queued() {
+    let mut home = single_engine(8);
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), ask_of(100, "other", 0))));
     for attempt in 0..10 {
-        home.ask(SETTLED, &router("r"), ask_of(attempt, "surge", 10_000));
+        home.ask(SETTLED, &router("r"), ask_of(attempt, "burst", 10_000));
     }
-    assert!(home.waiting() > 0, "the surge waits");
+    assert!(home.waiting() > 0, "the burst is queued");
     let answers = home.ask(SETTLED, &router("r"), ask_of(101, "other", 0));
-    assert!(is_granted(&answers), "slots are left to others, but {answers:?}");
+    assert!(is_grant(&answers), "slots are reserved for other customers, but got {answers:?}");
 }
 
 #[test]
-fn a_customer_over_its_share_leaves_slots_to_others() {
+fn a_customer_over_its_share_leaves_the_reserved_slots_to_others() {
     let mut home = Home::new(router("home"));
     let unbounded = Rules { multiple: None, ..rules() };
     home.adopt(Moment::ZERO, upstream("e0"), unbounded, Some(0));
     let of = |attempt, customer| ask_of(attempt, customer, 0);
-    assert!(is_granted(&home.ask(SETTLED, &router("r"), of(1, "other"))));
-    let granted = (10..30).filter(|n| is_granted(&home.ask(SETTLED, &router("r"), of(*n, "surge")))).count();
+    assert!(is_grant(&home.ask(SETTLED, &router("r"), of(1, "other"))));
+    let granted = (10..30).filter(|n| is_grant(&home.ask(SETTLED, &router("r"), of(*n, "burst")))).count();
     assert_eq!(granted, 5, "of eight slots one is taken and two are reserved");
     let answers = home.ask(SETTLED, &router("r"), of(40, "other"));
     assert!(matches!(verdicts(&answers)[..], [Verdict::Granted { over_share: false, .. }]));
 }
 
 quickcheck! {
-    fn the_account_never_passes_the_bound(moves: Vec<(u8, u8, u8)>) -> bool {
+    fn the_account_never_exceeds_the_bound(moves: Vec<(u8, u8, u8)>) -> bool {
         let mut home = home(3);
         let mut now = SETTLED;
         let mut held: Vec<(u128, String)> = Vec::new();
--- a/crates/stairvale-permit/tests/sample/mod.rs
+++ b/crates/stairvale-permit/tests/sample/mod.rs
@@ -1,9 +1,9 @@
-//! An ordinary request, for tests and benchmarks to change.
+//! A sample request profile, which tests and benchmarks adapt to their needs.
 
 use stairvale_types::{Class, id};
 use stairvale_wire::Profile;
 
-/// A returning chat's turn of ordinary class and weight.
+/// The profile of a turn of a returning chat, with normal class and weight 1.
 pub fn profile() -> Profile {
     Profile {
         service: "chat".parse().unwrap(),
--- a/crates/stairvale-placement/benches/rank.rs
+++ b/crates/stairvale-placement/benches/rank.rs
@@ -1,4 +1,4 @@
-//! Ranking a service's engines for a chat, by their number; and remembering exceptions.
+//! Measures ranking a service's engines for a chat by their number, and recording exceptions by the number of chats.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
     divan::main();
 }
 
-/// 600 runners for 8 models are 75 engines a service; 600 is the worst case of one service.
+/// 600 runners for 8 models are 75 engines per service; 600 is the worst case of a single service.
 #[divan::bench(args = [12, 75, 150, 600])]
 fn rank_chat(bencher: divan::Bencher, engines: usize) {
     let engines: Vec<_> = (0..engines).map(|n| Engine::new(format!("engine-{n}").parse().unwrap(), 1)).collect();
@@ -23,16 +23,16 @@
 }
 
 #[divan::bench(args = [1_000, 20_000, 200_000])]
-fn remember_and_find(bencher: divan::Bencher, chats: u64) {
+fn record_and_find(bencher: divan::Bencher, chats: u64) {
     let mut exceptions = Exceptions::new(200_000, Duration::from_secs(1_800));
     let upstream = "engine".parse().unwrap();
     for chat in 0..chats {
-        exceptions.remember(Moment::ZERO, id::Chat(chat), &upstream);
+        exceptions.record(Moment::ZERO, id::Chat(chat), &upstream);
     }
     let mut chat = 0;
     bencher.bench_local(|| {
         chat = (chat + 7_919) % chats;
-        exceptions.remember(Moment::ZERO, id::Chat(chat), &upstream);
+        exceptions.record(Moment::ZERO, id::Chat(chat), &upstream);
         exceptions.find(Moment::ZERO, id::Chat(chat)).is_some()
     });
 }
--- a/crates/stairvale-placement/src/choice.rs
+++ b/crates/stairvale-placement/src/choice.rs
@@ -1,38 +1,41 @@
-//! What a returning chat does when the engine that has its prefix is busy or gone.
+//! The choice between waiting for a chat's cached prefix, transferring it and prefilling it again, when the engine that
+//! holds it is busy or gone.
 
 use std::time::Duration;
 
-/// What each way would cost.
+/// Estimated costs of the alternatives, and the limits on waiting.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Estimate {
-    /// Prefilling the whole prompt elsewhere.
+    /// Time to prefill the complete prompt at another engine.
     pub rebuild: Duration,
-    /// Moving the KV cache elsewhere; `None` where the source is gone or can't export.
+    /// Time to transfer the KV cache to another engine; `None` if the source is gone or can't export it.
     pub transfer: Option<Duration>,
-    /// The longest wait that the service allows for a prefix.
+    /// Maximum time that the service allows a request to wait for its prefix.
     pub allowed: Duration,
-    /// What is left until the deadline.
+    /// Time left until the deadline.
     pub deadline: Duration,
 }
 
-/// What to do.
+/// The plan for a request whose prefix is cached at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// How long to wait at the home for the engine that has the prefix.
-    pub patience: Duration,
-    /// Whether, after that, the prefix is moved rather than rebuilt.
+    /// Maximum time to wait in the home's queue for the engine that holds the prefix.
+    pub max_wait: Duration,
+    /// Whether the prefix is transferred rather than prefilled again once the wait is over.
     pub transfer: bool,
 }
 
-/// The share of the time left that a wait may use up.
-const DEADLINE_SHARE: u32 = 4;
+/// Divisor of the time left until the deadline that gives the part of it which a wait may use up.
+const DEADLINE_DIVISOR: u32 = 4;
 
-/// Waits no longer than the cheaper of rebuilding and moving would take.
+/// Plans a wait that is no longer than the cheaper of transferring the prefix and prefilling it again.
+///
+/// The wait is also limited by the service and to a quarter of the time left until the deadline.
 #[must_use]
 pub fn plan(estimate: Estimate) -> Plan {
     let transfer = estimate.transfer.is_some_and(|cost| cost < estimate.rebuild);
     let cheapest = estimate.transfer.filter(|_| transfer).unwrap_or(estimate.rebuild);
-    let share = estimate.deadline / DEADLINE_SHARE;
-    let patience = cheapest.min(estimate.allowed).min(share);
-    Plan { patience, transfer }
+    let deadline_limit = estimate.deadline / DEADLINE_DIVISOR;
+    let max_wait = cheapest.min(estimate.allowed).min(deadline_limit);
+    Plan { max_wait, transfer }
 }
--- a/crates/stairvale-placement/src/lib.rs
+++ b/crates/stairvale-placement/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which engine a chat belongs to: a ranked list that churn disturbs as little as possible.
+//! Placement of chats on engines by ranked lists that change as little as possible when engines join or leave.
 //!
 //! [`rank`] orders a service's engines for a chat by weighted rendezvous hashing, so that a join or a leave moves only
-//! the chats of that engine. [`Exceptions`] remembers the few chats whose prefix sits elsewhere. [`choice::plan`]
-//! weighs waiting for a prefix against rebuilding or moving it.
+//! the chats of that engine. [`Exceptions`] records the few chats whose prefix is cached at another engine than their
+//! first choice. [`choice::plan`] weighs waiting for a prefix against transferring it or prefilling it again.
 //!
 //! ```
 //! use stairvale_placement::{Engine, rank};
--- a/crates/stairvale-placement/src/rendezvous.rs
+++ b/crates/stairvale-placement/src/rendezvous.rs
@@ -2,18 +2,18 @@
 
 use stairvale_types::id;
 
-/// An engine that a chat can belong to.
+/// An engine that chats can be placed on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Its name.
+    /// Name of the engine.
     pub upstream: id::Upstream,
-    /// Its capacity beside the others'.
+    /// Capacity of the engine relative to the other engines.
     pub weight: u32,
     hash: u64,
 }
 
 impl Engine {
-    /// An engine with its name hashed once.
+    /// Creates an engine and computes the hash of its name, which every ranking uses.
     #[must_use]
     pub fn new(upstream: id::Upstream, weight: u32) -> Self {
         let hash = upstream.hash64();
@@ -21,8 +21,9 @@
     }
 }
 
-/// Spreads two hashes over 64 bits (the finaliser of SplitMix64, Steele et al., 2014): the score of a node for a key, where all
-/// nodes weigh the same.
+/// Mixes two hashes into 64 uniformly distributed bits, by the finaliser of SplitMix64 (Steele et al., 2014).
+///
+/// The result serves as the score of a node for a key if all nodes have the same weight.
 #[inline]
 #[must_use]
 pub fn mix(a: u64, b: u64) -> u64 {
@@ -32,7 +33,9 @@
     z ^ (z >> 31)
 }
 
-/// The score of a node for a key: higher ranks first; proportional to weight (Schindelhauer and Schomaker, 2005).
+/// Returns the score of a node for a key; the highest score ranks first.
+///
+/// A node's probability to rank first is proportional to its weight (Schindelhauer and Schomaker, 2005).
 #[inline]
 #[allow(clippy::cast_precision_loss)]
 fn score(key: u64, node: u64, weight: u32) -> f64 {
@@ -41,7 +44,9 @@
     f64::from(weight) / -unit.ln()
 }
 
-/// All engines for a key, the best first; ties by name, so that every router has the same order.
+/// Ranks all engines for a key, the best first.
+///
+/// Ties are broken by name, so that every router computes the same order.
 #[must_use]
 pub fn rank(key: u64, engines: &[Engine]) -> Vec<id::Upstream> {
     let scored = engines.iter().map(|engine| (score(key, engine.hash, engine.weight), engine));
@@ -50,7 +55,7 @@
     scored.into_iter().map(|(_, engine)| engine.upstream.clone()).collect()
 }
 
-/// The best of some nodes for a key, by their hashes; `None` of none.
+/// Returns the best of some nodes, given with their hashes, for a key; `None` if there are no nodes.
 pub fn pick<'a, T: Ord>(key: u64, nodes: impl Iterator<Item = (u64, &'a T)>) -> Option<&'a T> {
     let scored = nodes.map(|(hash, node)| (mix(key, hash), node));
     let best = scored.max_by(|(a, x), (b, y)| a.cmp(b).then_with(|| y.cmp(x)))?;
