--- a/crates/stairvale-permit/tests/entry.rs
+++ b/crates/stairvale-permit/tests/entry.rs
@@ -89,7 +89,7 @@
         Self { entry: Entry::new(), fleet: Fleet::new() }
     }
 
-    fn want(&mut self, returning: bool) -> Vec<Effect> {
+    fn start_request(&mut self, returning: bool) -> Vec<Effect> {
         self.entry.want(NOW, &self.fleet, request(1, returning))
     }
 
@@ -102,7 +102,7 @@
 #[test]
 fn a_granted_permit_is_released_when_the_attempt_ends() {
     let mut setup = Setup::new();
-    let effects = setup.want(false);
+    let effects = setup.start_request(false);
     let (home, ask) = find_ask(&effects).unwrap();
     assert_eq!((home.as_str(), ask.upstream.as_str()), ("h0", "e0"));
     let effects = setup.answer("h0", "e0", GRANT);
@@ -115,7 +115,7 @@
 #[test]
 fn a_late_grant_is_released_at_once() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     let effects = setup.entry.end(id::Attempt(1));
     assert!(matches!(&effects[..], [Effect::Forget { .. }]));
     let effects = setup.answer("h0", "e0", GRANT);
@@ -126,7 +126,7 @@
 #[test]
 fn a_grant_from_a_former_home_is_released() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     setup.fleet.homes.insert("e0".into(), ["h1", "h2"]);
     let effects = setup.entry.homes_changed(NOW, &setup.fleet);
     assert_eq!(find_ask(&effects).unwrap().0, "h1");
@@ -138,7 +138,7 @@
 #[test]
 fn a_duplicate_grant_has_no_effect() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     setup.answer("h0", "e0", GRANT);
     assert!(setup.answer("h0", "e0", GRANT).is_empty());
     assert_eq!(setup.entry.holding(), 1);
@@ -147,7 +147,7 @@
 #[test]
 fn an_overflow_tries_the_next_ranked_engine_and_notifies_the_first_choices_home() {
     let mut setup = Setup::new();
-    setup.want(true);
+    setup.start_request(true);
     let effects = setup.answer("h0", "e0", Verdict::Overflow { emptiest: vec!["e2".parse().unwrap()] });
     let (_, ask) = find_ask(&effects).unwrap();
     assert_eq!((ask.upstream.as_str(), ask.patience), ("e1", Duration::ZERO));
@@ -164,7 +164,7 @@
 #[test]
 fn the_emptiest_engine_and_a_last_resort_follow_the_ranked_list() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     let full = || Verdict::Overflow { emptiest: vec!["e2".parse().unwrap()] };
     setup.answer("h0", "e0", full());
     let effects = setup.answer("h1", "e1", full());
@@ -178,7 +178,7 @@
 #[test]
 fn an_exception_redirects_to_the_engine_with_the_prefix() {
     let mut setup = Setup::new();
-    setup.want(true);
+    setup.start_request(true);
     let effects = setup.answer("h0", "e0", Verdict::Elsewhere { upstream: "e2".parse().unwrap() });
     let (home, ask) = find_ask(&effects).unwrap();
     assert_eq!((home.as_str(), ask.upstream.as_str()), ("h2", "e2"));
@@ -193,7 +193,7 @@
 #[test]
 fn an_unresponsive_home_is_replaced_by_its_successor_and_then_by_a_bounded_share() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT, &setup.fleet);
     assert_eq!(find_ask(&effects).unwrap().0, "h1");
     setup.fleet.share = Some(Share { reported: 3, slots: 8, own: 1 });
@@ -210,7 +210,7 @@
 #[test]
 fn a_not_home_answer_is_followed_once() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     let effects = setup.answer("h0", "e0", Verdict::NotHome { home: Some("h9".parse().unwrap()) });
     assert_eq!(find_ask(&effects).unwrap().0, "h9");
     assert!(find_grant(&setup.answer("h9", "e0", GRANT)).is_some());
@@ -220,18 +220,18 @@
 fn unusable_engines_are_skipped_and_without_any_other_the_request_is_refused() {
     let mut setup = Setup::new();
     setup.fleet.closed = ["e0".to_owned(), "e1".to_owned()].into();
-    let effects = setup.want(false);
+    let effects = setup.start_request(false);
     assert_eq!(find_ask(&effects).unwrap().1.upstream.as_str(), "e2");
     setup.entry.end(id::Attempt(1));
     setup.fleet.closed.insert("e2".into());
-    let effects = setup.want(false);
+    let effects = setup.start_request(false);
     assert!(matches!(&effects[..], [Effect::Refused { refusal, .. }] if refusal.reason == Reason::NoUpstream));
 }
 
 #[test]
 fn a_refusal_is_returned_at_once() {
     let mut setup = Setup::new();
-    setup.want(false);
+    setup.start_request(false);
     let refusal = Refusal::new(Reason::Busy, Duration::from_secs(1));
     let effects = setup.answer("h0", "e0", Verdict::Refused(refusal));
     assert!(matches!(&effects[..], [Effect::Refused { refusal: passed, .. }] if *passed == refusal));
@@ -258,7 +258,7 @@
     // This is the state of the last router of a fleet while it stops: every engine is usable, but none has a home.
     let mut setup = Setup::new();
     setup.fleet.homes.clear();
-    let effects = setup.want(true);
+    let effects = setup.start_request(true);
     assert!(matches!(effects[..], [Effect::Refused { .. }]), "{effects:?}");
     assert_eq!(setup.entry.asking(), 0);
 }
--- a/crates/stairvale-permit/tests/spec.rs
+++ b/crates/stairvale-permit/tests/spec.rs
@@ -230,13 +230,13 @@
         state.asks += 1;
         let attempt = id::Attempt(number as u128 * 100 + state.asks);
         state.attempt = Some(attempt);
-        let want = Want {
+        let request = Want {
             attempt,
             profile: Profile { chat: None, returning: false, ..profile() },
             estimate: Estimate { deadline: Duration::from_secs(60), ..Estimate::default() },
             candidates: vec![engine()],
         };
-        let effects = state.entry.want(self.now, &AssumedHome(state.assumed_home), want);
+        let effects = state.entry.want(self.now, &AssumedHome(state.assumed_home), request);
         self.send_effects(number, effects);
     }
 
