--- a/crates/stairvale-dispatch/tests/asks/mod.rs
+++ b/crates/stairvale-dispatch/tests/asks/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and upstreams of a plain service.
+//! Builders of requests and upstream listings of a plain service, shared by several tests.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,11 +11,11 @@
     Moment::from_millis(millis)
 }
 
-pub fn name(customer: u128) -> id::Customer {
+pub fn customer_id(customer: u128) -> id::Customer {
     format!("c{customer}").parse().unwrap()
 }
 
-pub fn members(count: usize, slots: u32) -> Vec<Listing> {
+pub fn listings(count: usize, slots: u32) -> Vec<Listing> {
     let listing = |i: usize| Listing {
         id: format!("e{i}").parse().unwrap(),
         zone: "a".parse().unwrap(),
@@ -28,12 +28,12 @@
     (0..count).map(listing).collect()
 }
 
-pub fn ask(number: u128, customer: u128) -> Ask {
+pub fn request(number: u128, customer: u128) -> Ask {
     Ask {
         attempt: id::Attempt(number),
         entry: "r1".parse().unwrap(),
         zone: "a".parse().unwrap(),
-        customer: Some(name(customer)),
+        customer: Some(customer_id(customer)),
         route: id::Route(0),
         fingerprint: id::Fingerprint::default(),
         priority: 2,
--- a/crates/stairvale-dispatch/tests/cold.rs
+++ b/crates/stairvale-dispatch/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What cold upstreams are given, whoever decides; and what is kept to some regions.
+//! Limits on requests to cold upstreams, whichever router decides, and requests restricted to some zones.
 
 #![allow(clippy::unwrap_used, clippy::cast_precision_loss)]
 
@@ -11,22 +11,23 @@
 };
 use stairvale_types::{Moment, id, outcome::Reason, unit};
 
-/// Requests a second that a cold engine bears in these tests, and the bound.
-const PACE: f64 = 9.6;
-const BOUND: f64 = 19.4;
+/// Requests per second that a cold engine sustains in these tests.
+const COLD_RATE: f64 = 9.6;
+/// Requests that a cold engine may get in any second.
+const COLD_BOUND: f64 = 19.4;
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
 }
 
-fn rules(pace: f64) -> Rules {
-    let cold = Cold { pace, bound: pace * 1.5 + 5.0, time: Duration::from_secs(3) };
+fn rules(rate: f64) -> Rules {
+    let cold = Cold { pace: rate, bound: rate * 1.5 + 5.0, time: Duration::from_secs(3) };
     let engine = Some(unit::Tokens(100_000));
     Rules { engine, copies: true, multiple: 0.0, slack: 3.0, cold: Some(cold) }
 }
 
-fn listing(name: &str, zone: &str, cold: u64, revision: u64) -> Listing {
-    let cold = Duration::from_millis(cold);
+fn listing(name: &str, zone: &str, cold_ms: u64, revision: u64) -> Listing {
+    let cold = Duration::from_millis(cold_ms);
     Listing {
         id: name.parse().unwrap(),
         zone: zone.parse().unwrap(),
@@ -38,7 +39,7 @@
     }
 }
 
-fn ask(number: u128, parts: &[(u64, u32)]) -> Ask {
+fn request(number: u128, parts: &[(u64, u32)]) -> Ask {
     Ask {
         attempt: id::Attempt(number),
         entry: "r1".parse().unwrap(),
@@ -58,43 +59,43 @@
     }
 }
 
-fn place(answers: &[Answer], number: u128) -> Option<id::Upstream> {
+fn granted_upstream(answers: &[Answer], number: u128) -> Option<id::Upstream> {
     answers.iter().filter(|answer| answer.attempt == id::Attempt(number)).find_map(|answer| match &answer.verdict {
         Verdict::Granted { upstream, .. } => Some(upstream.clone()),
         Verdict::Refused(_) => None,
     })
 }
 
-/// Requests that a pool grants when asked for so many at once, each of which ends at once.
-fn granted(pool: &mut Pool, now: Moment, from: u128, count: u128) -> usize {
+/// Sends `count` requests at once, each of which ends at once, and returns how many of them the pool grants.
+fn count_grants(pool: &mut Pool, now: Moment, from: u128, count: u128) -> usize {
     let numbers = from..from + count;
     let granted = numbers.filter(|number| {
-        let own = u64::try_from(*number).unwrap();
-        let answers = pool.ask(now, ask(*number, &[(1_000 + own, 100)]));
+        let prompt = u64::try_from(*number).unwrap();
+        let answers = pool.ask(now, request(*number, &[(1_000 + prompt, 100)]));
         pool.release(now, id::Attempt(*number), Outcome::Served, None);
-        place(&answers, *number).is_some()
+        granted_upstream(&answers, *number).is_some()
     });
     granted.count()
 }
 
 #[test]
-fn a_cold_engine_gets_less_than_half_of_its_bound_from_one_home() {
-    let mut pool = Pool::new(rules(PACE));
+fn one_home_gives_a_cold_engine_less_than_half_of_its_bound() {
+    let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 3_000, 1)]);
-    let first = granted(&mut pool, at(10), 0, 100);
-    assert!(first > 4 && first as f64 <= BOUND * 0.4, "{first}");
-    assert_eq!(granted(&mut pool, at(1_000), 100, 100), 0);
-    assert_eq!(granted(&mut pool, at(1_300), 200, 100), first);
-    // Warm again.
-    assert_eq!(granted(&mut pool, at(4_000), 300, 100), 100);
+    let first = count_grants(&mut pool, at(10), 0, 100);
+    assert!(first > 4 && first as f64 <= COLD_BOUND * 0.4, "{first}");
+    assert_eq!(count_grants(&mut pool, at(1_000), 100, 100), 0);
+    assert_eq!(count_grants(&mut pool, at(1_300), 200, 100), first);
+    // The engine is warm again.
+    assert_eq!(count_grants(&mut pool, at(4_000), 300, 100), 100);
 }
 
 #[test]
-fn an_engine_that_says_it_is_cold_again_is_limited_and_holds_nothing() {
-    let mut pool = Pool::new(rules(PACE));
+fn an_engine_that_is_reported_cold_again_is_limited_and_loses_its_prefixes() {
+    let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 0, 1), listing("e1", "a", 0, 1)]);
     let prompt = [(7, 2_000), (8, 6_000), (100, 500)];
-    let first = place(&pool.ask(at(1), ask(1, &prompt)), 1).unwrap();
+    let first = granted_upstream(&pool.ask(at(1), request(1, &prompt)), 1).unwrap();
     pool.begun(at(40), id::Attempt(1), Duration::from_millis(40));
     pool.release(at(50), id::Attempt(1), Outcome::Served, None);
     let held = |pool: &Pool| pool.prefixes().map(|(_, parts)| parts.len()).sum::<usize>();
@@ -103,19 +104,19 @@
     let other = if first.to_string() == "e0" { "e1" } else { "e0" };
     pool.set_members(at(100), &[cold.clone(), listing(other, "a", 0, 1)]);
     assert_eq!(held(&pool), 0);
-    // The same word again changes nothing: it is as old as it was.
-    let mut only = cold;
-    only.cold = Duration::from_millis(2_000);
-    pool.set_members(at(1_900), &[only]);
-    assert!(granted(&mut pool, at(1_950), 10, 50) < 10);
-    assert_eq!(granted(&mut pool, at(2_200), 100, 50), 50);
+    // The same listing again changes nothing: its revision is the earlier one, so that the time still counts from then.
+    let mut repeated = cold;
+    repeated.cold = Duration::from_millis(2_000);
+    pool.set_members(at(1_900), &[repeated]);
+    assert!(count_grants(&mut pool, at(1_950), 10, 50) < 10);
+    assert_eq!(count_grants(&mut pool, at(2_200), 100, 50), 50);
 }
 
 #[test]
-fn nothing_goes_to_cold_engines_that_bear_nothing() {
+fn cold_engines_that_sustain_no_requests_get_none() {
     let mut pool = Pool::new(rules(0.0));
     pool.set_members(at(0), &[listing("e0", "a", 3_000, 1)]);
-    let answers = pool.ask(at(10), ask(1, &[(1, 100)]));
+    let answers = pool.ask(at(10), request(1, &[(1, 100)]));
     let refused = |answer: &Answer| match &answer.verdict {
         Verdict::Refused(refusal) => Some(refusal.reason),
         Verdict::Granted { .. } => None,
@@ -124,20 +125,20 @@
 }
 
 #[test]
-fn cold_engines_at_an_unknown_pace_are_a_last_resort() {
+fn cold_engines_of_unknown_capacity_are_a_last_resort() {
     let mut pool = Pool::new(Rules { cold: None, ..rules(0.0) });
     pool.set_members(at(0), &[listing("e0", "a", 3_000, 1), listing("e1", "a", 0, 1)]);
     for number in 0..20 {
-        let answers = pool.ask(at(10), ask(number, &[(1_000 + u64::try_from(number).unwrap(), 100)]));
-        assert_eq!(place(&answers, number), Some("e1".parse().unwrap()));
+        let answers = pool.ask(at(10), request(number, &[(1_000 + u64::try_from(number).unwrap(), 100)]));
+        assert_eq!(granted_upstream(&answers, number), Some("e1".parse().unwrap()));
     }
     pool.set_members(at(20), &[listing("e0", "a", 3_000, 1)]);
-    assert!(place(&pool.ask(at(30), ask(30, &[(1, 100)])), 30).is_some());
+    assert!(granted_upstream(&pool.ask(at(30), request(30, &[(1, 100)])), 30).is_some());
 }
 
 #[test]
-fn one_that_appears_later_and_those_of_a_zone_taken_back_are_cold_until_time_shows() {
-    let mut pool = Pool::new(rules(PACE));
+fn new_engines_and_those_of_a_restored_zone_count_as_cold_for_a_while() {
+    let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 0, 1)]);
     pool.set_members(at(100), &[listing("e0", "a", 0, 1), listing("e1", "b", 0, 2)]);
     let cold = |pool: &Pool, now| pool.members().map(|member| member.is_cold(now)).collect::<Vec<_>>();
@@ -148,55 +149,55 @@
 }
 
 #[test]
-fn who_has_just_become_the_home_or_only_stands_in_for_it_gives_nothing_to_cold_engines() {
-    let mut pool = Pool::new(rules(PACE));
+fn a_new_home_and_an_entry_without_a_home_give_nothing_to_cold_engines() {
+    let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 60_000, 1)]);
     pool.set_share(at(5), 0.0);
-    assert_eq!(granted(&mut pool, at(10), 0, 50), 0);
+    assert_eq!(count_grants(&mut pool, at(10), 0, 50), 0);
     pool.set_share(at(100), 1.0);
-    assert_eq!(granted(&mut pool, at(1_300), 100, 50), 0);
-    let all = granted(&mut pool, at(1_400), 200, 50);
+    assert_eq!(count_grants(&mut pool, at(1_300), 100, 50), 0);
+    let all = count_grants(&mut pool, at(1_400), 200, 50);
     pool.set_share(at(3_000), 0.5);
-    let half = granted(&mut pool, at(3_000), 300, 50);
+    let half = count_grants(&mut pool, at(3_000), 300, 50);
     assert!(half > 0 && half <= all / 2, "{half} of {all}");
 }
 
 #[test]
-fn a_request_that_is_kept_to_zones_goes_nowhere_else_and_copies_from_nowhere_else() {
-    let mut pool = Pool::new(rules(PACE));
+fn a_request_restricted_to_zones_runs_and_copies_only_within_them() {
+    let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 0, 1), listing("e1", "b", 0, 1)]);
     let prompt = [(7, 2_000), (8, 6_000), (100, 500)];
-    let kept = |number, zones: &[&str]| {
+    let restricted = |number, zones: &[&str]| {
         let within = Some(zones.iter().map(|zone| zone.parse().unwrap()).collect());
-        Ask { within, ..ask(number, &prompt) }
+        Ask { within, ..request(number, &prompt) }
     };
-    assert_eq!(place(&pool.ask(at(1), kept(1, &["b"])), 1), Some("e1".parse().unwrap()));
+    assert_eq!(granted_upstream(&pool.ask(at(1), restricted(1, &["b"])), 1), Some("e1".parse().unwrap()));
     pool.begun(at(40), id::Attempt(1), Duration::from_millis(40));
     for number in 2..6 {
-        let answers = pool.ask(at(50), kept(number, &["a"]));
+        let answers = pool.ask(at(50), restricted(number, &["a"]));
         let verdict = answers.into_iter().find(|answer| answer.attempt == id::Attempt(number)).unwrap().verdict;
         let Verdict::Granted { upstream, source, .. } = verdict else { panic!("refused") };
         assert_eq!((upstream, source), ("e0".parse().unwrap(), None));
         pool.begun(at(51), id::Attempt(number), Duration::from_millis(40));
     }
-    let answers = pool.ask(at(60), kept(10, &[]));
+    let answers = pool.ask(at(60), restricted(10, &[]));
     assert!(matches!(&answers[0].verdict, Verdict::Refused(refusal) if refusal.reason == Reason::NoUpstream));
 }
 
-/// What happens to a fleet of routers that may all decide for one cold engine.
+/// An event in a fleet of routers that may all decide about one cold engine.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many ms pass.
+    /// Four times this many ms pass.
     Pass(u8),
-    /// Entries ask the home for this many places.
-    Ask(u8),
-    /// Entries don't hear of the home, and decide by themselves.
-    StandIn(u8),
-    /// The home dies, and the next router takes over.
-    Inherit,
-    /// The fleet is cut in two, and each side has a home of its own; or it is whole again.
-    Cut(bool),
-    /// The engine's entry is written again.
+    /// Entries send this many requests to the home.
+    Request(u8),
+    /// Entries don't reach the home, and decide about this many requests by themselves.
+    WithoutHome(u8),
+    /// The home fails, and its successor takes over.
+    TakeOver,
+    /// The fleet is partitioned into two sides with a home each, or no longer partitioned.
+    Partition(bool),
+    /// The engine's listing is written to the store again.
     Rewrite,
 }
 
@@ -204,55 +205,56 @@
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 10 {
             0..=2 => Self::Pass(u8::arbitrary(g)),
-            3..=5 => Self::Ask(u8::arbitrary(g) % 40),
-            6 => Self::StandIn(u8::arbitrary(g) % 40),
-            7 => Self::Inherit,
-            8 => Self::Cut(bool::arbitrary(g)),
+            3..=5 => Self::Request(u8::arbitrary(g) % 40),
+            6 => Self::WithoutHome(u8::arbitrary(g) % 40),
+            7 => Self::TakeOver,
+            8 => Self::Partition(bool::arbitrary(g)),
             _ => Self::Rewrite,
         }
     }
 }
 
 quickcheck! {
-    /// Grants, heirs, stand-ins, two sides of a cut and entries that come late, in any order: what a cold engine gets in any
-    /// second stays below the bound, sends that are up to 240 ms late included.
-    fn no_second_holds_more_than_a_cold_engine_may_get(routers: u8, delays: Vec<u8>, steps: Vec<Step>) -> TestResult {
+    /// In any order of grants, successors, entries that decide by themselves, two sides of a partition and late
+    /// listings: the requests that a cold engine gets in any second stay within the bound, including requests that
+    /// arrive up to 240 ms late.
+    fn a_cold_engine_is_within_its_bound_in_any_second(routers: u8, delays: Vec<u8>, steps: Vec<Step>) -> TestResult {
         let routers = usize::from(routers % 80) + 3;
         if delays.is_empty() {
             return TestResult::discard();
         }
-        let mut pools: Vec<_> = (0..routers).map(|_| Pool::new(rules(PACE))).collect();
+        let mut pools: Vec<_> = (0..routers).map(|_| Pool::new(rules(COLD_RATE))).collect();
         let mut revision = 1;
         for pool in &mut pools {
             pool.set_members(at(0), &[listing("e0", "a", 60_000, revision)]);
         }
-        let (mut now, mut number, mut home, mut cut) = (10_u64, 0_u128, 0_usize, false);
-        let mut sent: VecDeque<u64> = VecDeque::new();
+        let (mut now, mut number, mut home, mut partitioned) = (10_u64, 0_u128, 0_usize, false);
+        let mut arrivals: VecDeque<u64> = VecDeque::new();
         for step in steps {
-            // The home of the far side is the last router.
-            let homes = if cut { vec![home, routers - 1] } else { vec![home] };
+            // The home of the second side of a partition is the last router.
+            let homes = if partitioned { vec![home, routers - 1] } else { vec![home] };
             for (index, pool) in pools.iter_mut().enumerate() {
-                let part = match (homes.contains(&index), cut) {
+                let askers = match (homes.contains(&index), partitioned) {
                     (true, false) => routers,
                     (true, true) if index == home => routers / 2,
                     (true, true) => routers - routers / 2,
                     (false, _) => 0,
                 };
-                pool.set_share(at(now), part as f64 / routers as f64);
+                pool.set_share(at(now), askers as f64 / routers as f64);
             }
             let deciders: Vec<usize> = match step {
-                Step::Ask(count) => (0..usize::from(count)).map(|index| homes[index % homes.len()]).collect(),
-                Step::StandIn(count) => (0..usize::from(count)).map(|index| index % routers).collect(),
+                Step::Request(count) => (0..usize::from(count)).map(|index| homes[index % homes.len()]).collect(),
+                Step::WithoutHome(count) => (0..usize::from(count)).map(|index| index % routers).collect(),
                 Step::Pass(millis) => {
                     now += u64::from(millis) * 4;
                     continue;
                 }
-                Step::Inherit => {
+                Step::TakeOver => {
                     home = (home + 1) % (routers - 1);
                     continue;
                 }
-                Step::Cut(is) => {
-                    cut = is;
+                Step::Partition(is_cut) => {
+                    partitioned = is_cut;
                     continue;
                 }
                 Step::Rewrite => {
@@ -266,18 +268,19 @@
             for decider in deciders {
                 number += 1;
                 let parts = [(1_000 + number as u64, 100)];
-                let answers = pools[decider].ask(at(now), ask(number, &parts));
+                let answers = pools[decider].ask(at(now), request(number, &parts));
                 pools[decider].release(at(now), id::Attempt(number), Outcome::Served, None);
-                if place(&answers, number).is_none() {
+                if granted_upstream(&answers, number).is_none() {
                     continue;
                 }
                 let delay = u64::from(delays[number as usize % delays.len()]) * 240 / 255;
-                sent.push_back(now + delay);
+                arrivals.push_back(now + delay);
             }
         }
-        let mut sent: Vec<_> = sent.into();
-        sent.sort_unstable();
-        let most = sent.iter().map(|from| sent.iter().filter(|at| *at >= from && *at - from < 1_000).count()).max();
-        TestResult::from_bool(most.unwrap_or(0) as f64 <= BOUND)
+        let mut arrivals: Vec<_> = arrivals.into();
+        arrivals.sort_unstable();
+        let max =
+            arrivals.iter().map(|from| arrivals.iter().filter(|at| *at >= from && *at - from < 1_000).count()).max();
+        TestResult::from_bool(max.unwrap_or(0) as f64 <= COLD_BOUND)
     }
 }
--- a/crates/stairvale-dispatch/tests/fleet/mod.rs
+++ b/crates/stairvale-dispatch/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A service in the middle of a roll-out, for the tests of what its home does.
+//! Builders for tests of the home of a service during a roll-out: listings, requests, policies and reservations.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -24,16 +24,17 @@
     Some(Policy { target: version("v2"), stage, rejected: Vec::new() })
 }
 
-/// So many old upstreams, o0 and on, and new ones, n0 and on.
+/// Listings of `old` upstreams of version v1, named o0, o1 and so on, and of `new` upstreams of version v2, named n0,
+/// n1 and so on, in three availability zones in turn.
 pub fn listings(old: usize, new: usize, slots: u32) -> Vec<Listing> {
-    let listing = |name: String, zone: usize, of: &str| Listing {
+    let listing = |name: String, zone: usize, release: &str| Listing {
         id: name.parse().unwrap(),
         zone: ["a", "b", "c"][zone % 3].parse().unwrap(),
         slots,
         usable: true,
         cold: Duration::ZERO,
         revision: 1,
-        version: Some(version(of)),
+        version: Some(version(release)),
     };
     let olds = (0..old).map(|index| listing(format!("o{index}"), index, "v1"));
     olds.chain((0..new).map(|index| listing(format!("n{index}"), index, "v2"))).collect()
@@ -45,7 +46,7 @@
     pool
 }
 
-pub fn ask(number: u128, route: u64, parts: &[(u64, u32)]) -> Ask {
+pub fn request(number: u128, route: u64, parts: &[(u64, u32)]) -> Ask {
     Ask {
         attempt: id::Attempt(number),
         entry: "r1".parse().unwrap(),
@@ -69,7 +70,7 @@
     Reservation { requests, until: at(until), over, unrepeatable: false }
 }
 
-pub fn place(answers: &[Answer]) -> Option<id::Upstream> {
+pub fn granted_upstream(answers: &[Answer]) -> Option<id::Upstream> {
     answers.iter().find_map(|answer| match &answer.verdict {
         Verdict::Granted { upstream, .. } => Some(upstream.clone()),
         Verdict::Refused(_) => None,
@@ -87,13 +88,13 @@
     upstream.as_str().starts_with('n')
 }
 
-/// How many of so many requests, which end at once, go to the new version.
-pub fn tried(pool: &mut Pool, from: u128, count: u128, now: u64, shape: impl Fn(Ask) -> Ask) -> usize {
+/// Sends `count` requests, each of which ends at once, and returns how many of them the new version got.
+pub fn count_trials(pool: &mut Pool, from: u128, count: u128, now: u64, shape: impl Fn(Ask) -> Ask) -> usize {
     let numbers = from..from + count;
     let new = numbers.filter(|number| {
-        let answers = pool.ask(at(now), shape(ask(*number, 0, &[])));
+        let answers = pool.ask(at(now), shape(request(*number, 0, &[])));
         pool.release(at(now), id::Attempt(*number), Outcome::Served, Some(Duration::from_millis(5)));
-        place(&answers).is_some_and(|place| is_new(&place))
+        granted_upstream(&answers).is_some_and(|upstream| is_new(&upstream))
     });
     new.count()
 }
--- a/crates/stairvale-dispatch/tests/histories.rs
+++ b/crates/stairvale-dispatch/tests/histories.rs
@@ -1,4 +1,4 @@
-//! What holds of roll-outs at a home whatever happens, in any order.
+//! Invariants of roll-outs at a home, for arbitrary sequences of events.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use fleet::{ask, at, engines, listings, place, policy, pool, reservation, version};
+use fleet::{at, engines, granted_upstream, listings, policy, pool, request, reservation, version};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use stairvale_dispatch::{
     Answer, Ask, Held, Member, Outcome, Pool, Verdict,
@@ -18,24 +18,24 @@
 };
 use stairvale_types::id;
 
-/// What may happen at the routers that are, or were, a service's home.
+/// An event at the routers that are, or were, a service's home. The value in a step selects its details.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An ask at a pool, of this shape.
-    Ask(u8),
-    /// A request ends somehow.
+    /// An entry sends a request to the home.
+    Request(u8),
+    /// A running request ends with one of several outcomes.
     End(u8),
-    /// Its first event comes.
+    /// The first event of a running request arrives.
     Begin(u8),
-    /// Time passes.
+    /// Time passes, by so many ms.
     Pass(u8),
-    /// So many requests are reserved, over so many upstreams.
+    /// Requests are reserved for the trial, over some of its upstreams.
     Reserve(u8),
-    /// The policy changes.
+    /// The policy of the roll-out changes.
     Policy(u8),
-    /// Another router is the home from now on: entries name to it what they run.
+    /// The other router becomes the home, and entries report their running requests to it.
     TakeOver,
-    /// An upstream leaves, or comes back.
+    /// An upstream becomes unusable, or usable again.
     Change(u8),
 }
 
@@ -43,7 +43,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let value = u8::arbitrary(g);
         match u8::arbitrary(g) % 16 {
-            0..=6 => Self::Ask(value),
+            0..=6 => Self::Request(value),
             7..=8 => Self::End(value),
             9 => Self::Begin(value),
             10..=11 => Self::Pass(value),
@@ -73,49 +73,52 @@
     Some(Policy { target, stage, rejected })
 }
 
-/// What stands at one router.
+/// The state of one router that is, or was, the home.
 struct Home {
     pool: Pool,
     policy: Option<Policy>,
-    /// What is left of the last reservation, and until when.
-    left: u32,
+    /// Requests that are left of the last reservation.
+    remaining: u32,
+    /// When that reservation expires, in ms.
     until: u64,
-    /// Whether that holds for requests that may run only once.
-    once: bool,
+    /// Whether that reservation includes unrepeatable requests.
+    includes_unrepeatable: bool,
 }
 
 quickcheck! {
-    /// Whatever comes in which order, at whichever router: a version on trial gets nothing that wasn't reserved for it there, an
-    /// upstream that may get nothing gets nothing, and one that the fleet leaves is no better than one that it moves to.
-    fn nothing_is_given_that_the_policy_does_not_allow(plain: bool, steps: Vec<Step>) -> bool {
+    /// For any sequence of events at either router: a version on trial gets only what was reserved for it there, an
+    /// upstream whose version may get nothing gets nothing, and no request copies from a version on trial or one that
+    /// may get nothing.
+    fn no_request_is_granted_against_the_policy(plain: bool, steps: Vec<Step>) -> bool {
         let rules = if plain { Rules::default() } else { engines() };
         let mut homes: Vec<_> = (0..2).map(|_| {
-            let mut known = listings(3, 3, 3);
-            known[0].version = None;
-            known[5].version = Some(version("v3"));
+            let mut members = listings(3, 3, 3);
+            members[0].version = None;
+            members[5].version = Some(version("v3"));
             let mut pool = Pool::new(rules);
-            pool.set_members(at(0), &known);
-            Home { pool, policy: None, left: 0, until: 0, once: false }
+            pool.set_members(at(0), &members);
+            Home { pool, policy: None, remaining: 0, until: 0, includes_unrepeatable: false }
         }).collect();
-        let (mut home, mut now, mut asked) = (0, 1_u64, 0_u64);
+        let (mut home, mut now, mut requested) = (0, 1_u64, 0_u64);
         let mut repeatable = BTreeMap::new();
         let mut running: Vec<Held> = Vec::new();
         for step in steps {
-            let Home { pool, policy, left, until, once } = &mut homes[home];
+            let Home { pool, policy, remaining, until, includes_unrepeatable } = &mut homes[home];
             let any = |value: u8| usize::from(value).checked_rem(running.len());
             let mut released = None;
             let answers = match step {
-                Step::Ask(value) => {
-                    asked += 1;
+                Step::Request(value) => {
+                    requested += 1;
                     let key = u64::from(value % 5);
-                    let parts = [(key, 700), (10 + key, 2_000), (1_000 + asked, 100)];
-                    let mut ask = ask(u128::from(asked), u64::from(value % 3), if plain { &[] } else { &parts });
-                    ask.repeatable = value % 4 != 0;
+                    let parts = [(key, 700), (10 + key, 2_000), (1_000 + requested, 100)];
+                    let mut request =
+                        request(u128::from(requested), u64::from(value % 3), if plain { &[] } else { &parts });
+                    request.repeatable = value % 4 != 0;
                     if value % 7 == 0 {
-                        ask.avoid = vec!["o1".parse().unwrap()];
+                        request.avoid = vec!["o1".parse().unwrap()];
                     }
-                    repeatable.insert(ask.attempt, (ask.repeatable, ask.avoid.is_empty()));
-                    pool.ask(at(now), ask)
+                    repeatable.insert(request.attempt, (request.repeatable, request.avoid.is_empty()));
+                    pool.ask(at(now), request)
                 }
                 Step::End(value) => {
                     let Some(held) = any(value).map(|index| running.swap_remove(index)) else { continue };
@@ -137,16 +140,16 @@
                     let unrepeatable = value % 8 == 0;
                     let requests = u32::from(value % 4);
                     pool.reserve(Reservation { unrepeatable, ..reservation(requests, until_ms, usize::from(value / 4 % 4)) });
-                    (*left, *until, *once) = (requests, until_ms, unrepeatable);
+                    (*remaining, *until, *includes_unrepeatable) = (requests, until_ms, unrepeatable);
                     Vec::new()
                 }
                 Step::Policy(value) => {
                     let next = some_policy(value);
-                    // What was reserved for a version holds as long as that one is on trial.
+                    // A reservation for a version is valid as long as that version is on trial.
                     let target = |policy: &Option<Policy>| policy.as_ref().map(|policy| policy.target.clone());
                     let is_trial = next.as_ref().is_some_and(|next| next.stage == Stage::Trial);
                     if *policy != next && !(is_trial && target(policy) == target(&next)) {
-                        *left = 0;
+                        *remaining = 0;
                     }
                     policy.clone_from(&next);
                     pool.set_policy(at(now), next)
@@ -157,32 +160,37 @@
                     pool.renew(at(now), &"r1".parse().unwrap(), &running)
                 }
                 Step::Change(value) => {
-                    let mut known = listings(3, 3, 3);
-                    known[0].version = None;
-                    known[5].version = Some(version("v3"));
-                    for (index, listing) in known.iter_mut().enumerate() {
+                    let mut members = listings(3, 3, 3);
+                    members[0].version = None;
+                    members[5].version = Some(version("v3"));
+                    for (index, listing) in members.iter_mut().enumerate() {
                         listing.usable = usize::from(value) % 8 != index;
                     }
-                    pool.set_members(at(now), &known)
+                    pool.set_members(at(now), &members)
                 }
             };
-            let Home { pool, policy, left, until, once } = &mut homes[home];
+            let Home { pool, policy, remaining, until, includes_unrepeatable } = &mut homes[home];
             for answer in answers {
                 let Verdict::Granted { upstream, read, source } = answer.verdict else { continue };
                 let held = Held { attempt: answer.attempt, upstream: upstream.clone(), read, customer: None, route: id::Route(0), fingerprint: id::Fingerprint::default() };
                 if Some(answer.attempt) != released {
                     running.push(held);
                 }
-                let of = |id: &id::Upstream| pool.members().find(|member| &member.id == id).and_then(|member| member.version.clone());
+                let version_of = |id: &id::Upstream| {
+                    pool.members().find(|member| &member.id == id).and_then(|member| member.version.clone())
+                };
                 let Some(policy) = policy else { continue };
-                let admits = |id: &id::Upstream| policy.admits(of(id).as_ref());
+                let admits = |id: &id::Upstream| policy.admits(version_of(id).as_ref());
                 let allowed = match admits(&upstream) {
                     Any | Last => true,
                     Nothing => false,
                     Trial => {
-                        let (may_run_twice, first) = repeatable[&answer.attempt];
-                        let allowed = *left > 0 && now < *until && (may_run_twice || *once) && first;
-                        *left = left.saturating_sub(1);
+                        let (is_repeatable, is_first_attempt) = repeatable[&answer.attempt];
+                        let allowed = *remaining > 0
+                            && now < *until
+                            && (is_repeatable || *includes_unrepeatable)
+                            && is_first_attempt;
+                        *remaining = remaining.saturating_sub(1);
                         allowed
                     }
                 };
@@ -195,20 +203,20 @@
     }
 }
 
-/// The same history at two pools: what each of them decided.
-fn history(pool: &mut Pool, new: usize, with_policies: bool, steps: &[(u8, u8, u8)]) -> Vec<Vec<Answer>> {
-    let mut known = listings(5, new, 6);
-    known[4].version = None;
-    pool.set_members(at(0), &known);
+/// Replays a sequence of events at a pool and returns its answers to each.
+fn replay(pool: &mut Pool, new: usize, with_policies: bool, steps: &[(u8, u8, u8)]) -> Vec<Vec<Answer>> {
+    let mut members = listings(5, new, 6);
+    members[4].version = None;
+    pool.set_members(at(0), &members);
     if with_policies {
         pool.set_policy(at(0), policy(Stage::Trial));
     }
-    let mut decided = Vec::new();
+    let mut decisions = Vec::new();
     for (number, (kind, key, time)) in steps.iter().enumerate() {
         let now = at(number as u64 * 7 + u64::from(*time % 8));
         let attempt = id::Attempt(number as u128);
         let earlier = id::Attempt(number.saturating_sub(usize::from(*time) % 9) as u128);
-        decided.push(match kind % 10 {
+        decisions.push(match kind % 10 {
             0..=4 => {
                 let key = u64::from(key % 9);
                 let parts = [
@@ -217,7 +225,7 @@
                     (1_000 + number as u64, 120),
                 ];
                 let parts = if key == 8 { &parts[2..] } else { &parts[..] };
-                pool.ask(now, Ask { attempt, repeatable: time % 4 != 0, ..ask(0, u64::from(time % 3), parts) })
+                pool.ask(now, Ask { attempt, repeatable: time % 4 != 0, ..request(0, u64::from(time % 3), parts) })
             }
             5 => pool.begun(now, earlier, Duration::from_millis(u64::from(*time))),
             6 => {
@@ -234,14 +242,14 @@
             }
             _ => {
                 let one = usize::from(*key) % if with_policies { 10 } else { 5 };
-                known[one].revision += 1;
-                known[one].usable = *time % 3 != 0;
-                known[one].cold = Duration::from_millis(u64::from(*time % 2) * 30);
-                pool.update(now, &known[one..=one], &[])
+                members[one].revision += 1;
+                members[one].usable = *time % 3 != 0;
+                members[one].cold = Duration::from_millis(u64::from(*time % 2) * 30);
+                pool.update(now, &members[one..=one], &[])
             }
         });
     }
-    decided
+    decisions
 }
 
 fn cold_rules() -> Rules {
@@ -249,32 +257,33 @@
 }
 
 quickcheck! {
-    /// Looking only at those that hold a prompt's beginning decides as looking at all does, whatever the policy.
-    fn a_short_look_decides_as_a_whole_one_under_any_policy(steps: Vec<(u8, u8, u8)>) -> bool {
-        let (mut short, mut whole) = (Pool::new(cold_rules()), Pool::new(cold_rules()).with_whole_look());
-        history(&mut short, 5, true, &steps) == history(&mut whole, 5, true, &steps)
+    /// A scan of only those engines that hold the prefix of a prompt gives the same decisions as a full scan, under any
+    /// policy.
+    fn a_partial_scan_decides_like_a_full_scan_under_any_policy(steps: Vec<(u8, u8, u8)>) -> bool {
+        let (mut partial, mut full) = (Pool::new(cold_rules()), Pool::new(cold_rules()).with_whole_look());
+        replay(&mut partial, 5, true, &steps) == replay(&mut full, 5, true, &steps)
     }
 
-    /// A roll-out to a version that no upstream has changes no decision, and neither do versions without a roll-out.
-    fn without_a_version_to_try_nothing_changes(steps: Vec<(u8, u8, u8)>) -> bool {
+    /// A roll-out to a version that no upstream runs changes no decision, and neither do versions without a roll-out.
+    fn a_roll_out_without_upstreams_of_its_version_changes_nothing(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut plain = Pool::new(cold_rules());
         let mut ordered = Pool::new(cold_rules());
         let target = version("v9");
         ordered.set_policy(at(0), Some(Policy { target, stage: Stage::Trial, rejected: Vec::new() }));
         ordered.reserve(reservation(100, 1_000_000, 3));
-        history(&mut plain, 5, false, &steps) == history(&mut ordered, 5, false, &steps)
+        replay(&mut plain, 5, false, &steps) == replay(&mut ordered, 5, false, &steps)
     }
 
-    /// While nothing is reserved, a version on trial changes nothing of what the old one gets.
-    fn a_version_on_trial_is_as_good_as_not_there(steps: Vec<(u8, u8, u8)>) -> bool {
+    /// While nothing is reserved, a version on trial doesn't change the decisions about the old one.
+    fn a_version_on_trial_without_a_reservation_changes_nothing(steps: Vec<(u8, u8, u8)>) -> bool {
         let rules = Rules { multiple: 0.0, ..cold_rules() };
         let (mut alone, mut ordered) = (Pool::new(rules), Pool::new(rules));
         ordered.set_policy(at(0), policy(Stage::Trial));
-        history(&mut alone, 0, false, &steps) == history(&mut ordered, 5, false, &steps)
+        replay(&mut alone, 0, false, &steps) == replay(&mut ordered, 5, false, &steps)
     }
 
-    /// While the fleet moves, no engine runs more than the multiple of the mean and the slack allow.
-    fn the_bound_holds_while_the_fleet_moves(steps: Vec<(u8, bool)>) -> bool {
+    /// While the fleet moves, no engine runs more than the load multiple and the slack allow.
+    fn no_engine_exceeds_the_load_bound_while_the_fleet_moves(steps: Vec<(u8, bool)>) -> bool {
         let mut pool = pool(engines(), 5, 5, 64);
         let mut running = Vec::new();
         for (number, (key, ends)) in steps.into_iter().enumerate() {
@@ -287,12 +296,12 @@
                 continue;
             }
             let attempt = id::Attempt(number as u128);
-            let want = Ask { attempt, ..ask(0, 0, &[(u64::from(key % 3), 5_000), (number as u64 + 1_000, 100)]) };
+            let request = Ask { attempt, ..request(0, 0, &[(u64::from(key % 3), 5_000), (number as u64 + 1_000, 100)]) };
             let before: u32 = pool.members().map(Member::running).sum();
-            if let Some(place) = place(&pool.ask(now, want)) {
+            if let Some(upstream) = granted_upstream(&pool.ask(now, request)) {
                 running.push(attempt);
                 pool.begun(now, attempt, Duration::from_millis(50));
-                let held = f64::from(pool.running(&place) - 1);
+                let held = f64::from(pool.running(&upstream) - 1);
                 if held > 2.0 * f64::from(before) / 10.0 + 3.0 {
                     return false;
                 }
--- a/crates/stairvale-dispatch/tests/lives.rs
+++ b/crates/stairvale-dispatch/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Lives of an upstream under one name.
+//! Incarnations of an upstream under one name.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn ask(number: u128) -> Ask {
+fn request(number: u128) -> Ask {
     Ask {
         attempt: id::Attempt(number),
         entry: "r1".parse().unwrap(),
@@ -43,7 +43,7 @@
     }
 }
 
-fn granted(answers: &[Answer]) -> (id::Upstream, u32) {
+fn grant(answers: &[Answer]) -> (id::Upstream, u32) {
     match &answers[0].verdict {
         Verdict::Granted { upstream, read, .. } => (upstream.clone(), *read),
         Verdict::Refused(refusal) => panic!("{refusal}"),
@@ -58,29 +58,29 @@
 }
 
 #[test]
-fn a_later_life_holds_nothing_and_runs_nothing_of_an_earlier_one() {
+fn a_new_incarnation_has_no_prefixes_and_no_requests_of_an_earlier_one() {
     let mut pool = pool();
-    let (upstream, read) = granted(&pool.ask(at(10), ask(1)));
+    let (upstream, read) = grant(&pool.ask(at(10), request(1)));
     assert_eq!(read, 6_100);
     pool.begun(at(300), id::Attempt(1), Duration::from_millis(290));
-    assert_eq!(granted(&pool.ask(at(310), ask(2))).1, 100, "the shared part is there");
+    assert_eq!(grant(&pool.ask(at(310), request(2))).1, 100, "the upstream holds the shared prefix");
     pool.update(at(400), &[listing("e0@2000", 2)], &[]);
     assert_eq!(pool.running(&upstream), 0);
     assert_eq!(pool.members().count(), 1);
-    let (later, read) = granted(&pool.ask(at(410), ask(3)));
+    let (later, read) = grant(&pool.ask(at(410), request(3)));
     assert_eq!(later.to_string(), "e0@2000");
-    assert_eq!(read, 6_100, "it holds nothing");
-    // Words of the earlier life that come late say nothing of the later one.
+    assert_eq!(read, 6_100, "the new incarnation holds no prefix");
+    // Late reports about the earlier incarnation don't affect the later one.
     pool.release(at(420), id::Attempt(2), Outcome::Failed, None);
     pool.learn_prefixes(&upstream, &[Part { id: 9, tokens: 50_000 }]);
     assert_eq!(pool.running(&later), 1);
 }
 
 #[test]
-fn how_an_earlier_life_did_says_nothing_of_a_later_one() {
+fn the_health_of_an_earlier_incarnation_does_not_affect_a_later_one() {
     let mut pool = pool();
     for number in 0..6 {
-        pool.ask(at(number * 10), ask(u128::from(number)));
+        pool.ask(at(number * 10), request(u128::from(number)));
         pool.release(at(number * 10 + 5), id::Attempt(u128::from(number)), Outcome::Silent, None);
     }
     pool.update(at(100), &[listing("e0@2000", 2)], &[]);
@@ -89,17 +89,18 @@
 }
 
 #[test]
-fn a_name_that_goes_takes_its_present_life_along() {
+fn removing_a_name_removes_its_current_incarnation() {
     let mut pool = pool();
     pool.update(at(100), &[], &["e0".parse().unwrap()]);
     assert_eq!(pool.members().count(), 0);
 }
 
-/// Its entry's word on that comes when the home has let it go already.
+/// The home learns of the new incarnation first, and releases the request before its entry reports the termination. The
+/// termination has to count as evidence all the same.
 #[test]
-fn an_earlier_life_ended_under_what_ran_there() {
+fn the_requests_of_an_earlier_incarnation_count_its_termination() {
     let mut pool = pool();
-    pool.ask(at(10), ask(1));
+    pool.ask(at(10), request(1));
     pool.update(at(400), &[listing("e0@2000", 2)], &[]);
     pool.release(at(410), id::Attempt(1), Outcome::Ended, None);
     assert_eq!(pool.suspects().ends(id::Fingerprint(1)), 1);
--- a/crates/stairvale-dispatch/tests/looks.rs
+++ b/crates/stairvale-dispatch/tests/looks.rs
@@ -1,9 +1,10 @@
-//! What a home's work for one request depends on: what the request is about, and not how many upstreams there are.
+//! The work of a home for one request must not grow with the number of upstreams.
 //!
-//! A fleet of 985 routers before 9,600 engines has one home a service. Each decision about a prompt that few engines hold went
-//! through all engines up to six times, and so did each word of an entry about what runs there, twice a second from each of
-//! hundreds of entries. By then the home was late, entries decided by themselves, knew nothing of what engines held, and had
-//! prompts read again. That the time goes into looks at members showed by their count; these tests count them.
+//! In a fleet of 985 routers and 9,600 engines each service has one home. If each decision about a prompt that few
+//! engines hold scans all engines up to six times, and so does each status report, which hundreds of entries send twice
+//! a second, the home answers too late. Then entries decide by themselves, without the home's record of the engines'
+//! prefixes, and prompts are prefilled again. Scans of members take most of the home's time, so these tests count the
+//! scanned members.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,21 +12,22 @@
 
 use std::time::Duration;
 
-use fleet::{ask, at, engines, place};
+use fleet::{at, engines, granted_upstream, request};
 use stairvale_dispatch::{Ask, Held, Outcome, Pool, Verdict};
 use stairvale_types::id;
 
-/// Few upstreams of a large fleet, and many.
-const FEW: usize = 1_000;
-const MANY: usize = 8_000;
-/// Requests that are counted.
+/// Upstreams of a small fleet.
+const SMALL_FLEET: usize = 1_000;
+/// Upstreams of a large fleet.
+const LARGE_FLEET: usize = 8_000;
+/// Requests over which the scanned members are averaged.
 const REQUESTS: u128 = 400;
-/// Entries that ask in turn.
+/// Entries that send requests in turn.
 const ENTRIES: u128 = 40;
 
 fn pool(upstreams: usize) -> Pool {
     let mut pool = fleet::pool(engines(), upstreams, 0, 32);
-    // Else they are asked for what they hold.
+    // Marks the engines' prefixes as known: otherwise the first decisions would query engines for them.
     pool.unknown(|_| true);
     pool
 }
@@ -34,15 +36,15 @@
     format!("r{}", number % ENTRIES).parse().unwrap()
 }
 
-/// Requests of so many prompts, one after the other, each of which runs while ten others do.
-fn play(pool: &mut Pool, from: u128, prompts: u64) {
+/// Sends `REQUESTS` requests with `prompts` different prompts, one after the other; eleven run at once.
+fn run_requests(pool: &mut Pool, from: u128, prompts: u64) {
     for number in from..from + REQUESTS {
         let now = at(u64::try_from(number).unwrap() * 2);
         let prompt = u64::try_from(number).unwrap() * 7_919 % prompts;
         let parts =
             [(prompt % 4 + 1, 2_000), (1_000 + prompt, 6_000), (1_000_000 + u64::try_from(number).unwrap(), 500)];
-        let answers = pool.ask(now, Ask { entry: entry(number), ..ask(number, 0, &parts) });
-        assert!(place(&answers).is_some() || pool.waiting() > 0);
+        let answers = pool.ask(now, Ask { entry: entry(number), ..request(number, 0, &parts) });
+        assert!(granted_upstream(&answers).is_some() || pool.waiting() > 0);
         pool.begun(now, id::Attempt(number), Duration::from_millis(50));
         pool.unknown(|_| true);
         if number >= 10 {
@@ -51,47 +53,48 @@
     }
 }
 
-/// Members that were looked at meanwhile, for each of the requests.
-fn looks_each(pool: &mut Pool, play: impl FnOnce(&mut Pool)) -> u64 {
+/// Returns the members that were scanned by `run`, per request.
+fn scans_per_request(pool: &mut Pool, run: impl FnOnce(&mut Pool)) -> u64 {
     let before = pool.looks();
-    play(pool);
+    run(pool);
     (pool.looks() - before) / u64::try_from(REQUESTS).unwrap()
 }
 
 #[test]
-fn a_decision_about_a_prompt_that_nobody_holds_takes_no_longer_with_more_engines() {
-    let looks = [FEW, MANY].map(|upstreams| looks_each(&mut pool(upstreams), |pool| play(pool, 0, 1_000_000)));
-    assert!(looks[1] <= looks[0] * 5 / 4, "{looks:?} looks a request");
+fn a_decision_about_a_prompt_without_a_cached_prefix_takes_no_more_scans_with_more_engines() {
+    let scans = [SMALL_FLEET, LARGE_FLEET]
+        .map(|upstreams| scans_per_request(&mut pool(upstreams), |pool| run_requests(pool, 0, 1_000_000)));
+    assert!(scans[1] <= scans[0] * 5 / 4, "{scans:?} members scanned per request");
 }
 
 #[test]
-fn a_decision_about_a_prompt_in_use_takes_no_longer_with_more_engines() {
-    let looks = [FEW, MANY].map(|upstreams| {
+fn a_decision_about_a_prompt_in_use_takes_no_more_scans_with_more_engines() {
+    let scans = [SMALL_FLEET, LARGE_FLEET].map(|upstreams| {
         let mut pool = pool(upstreams);
-        play(&mut pool, 0, 50);
-        looks_each(&mut pool, |pool| play(pool, REQUESTS, 50))
+        run_requests(&mut pool, 0, 50);
+        scans_per_request(&mut pool, |pool| run_requests(pool, REQUESTS, 50))
     });
-    assert!(looks[1] <= looks[0] * 5 / 4, "{looks:?} looks a request");
+    assert!(scans[1] <= scans[0] * 5 / 4, "{scans:?} members scanned per request");
 }
 
 #[test]
-fn a_beginning_that_thousands_hold_is_decided_about_as_soon_as_one_that_hundreds_hold() {
-    let looks = [FEW, MANY].map(|upstreams| {
+fn a_prefix_that_all_engines_hold_takes_no_more_scans_with_more_engines() {
+    let scans = [SMALL_FLEET, LARGE_FLEET].map(|upstreams| {
         let mut pool = pool(upstreams);
         let all: Vec<_> = pool.members().map(|member| member.id.clone()).collect();
-        let hot = ask(0, 0, &[(1, 2_000), (1_001, 6_000), (0, 1)]);
+        let prompt = request(0, 0, &[(1, 2_000), (1_001, 6_000), (0, 1)]);
         for upstream in &all {
-            pool.learn_prefixes(upstream, hot.shared());
+            pool.learn_prefixes(upstream, prompt.shared());
         }
-        looks_each(&mut pool, |pool| play(pool, 0, 1))
+        scans_per_request(&mut pool, |pool| run_requests(pool, 0, 1))
     });
-    assert!(looks[1] <= looks[0] * 5 / 4, "{looks:?} looks a request");
+    assert!(scans[1] <= scans[0] * 5 / 4, "{scans:?} members scanned per request");
 }
 
 #[test]
-fn the_word_of_one_entry_is_about_what_runs_there_alone() {
-    let mut pool = pool(MANY);
-    play(&mut pool, 0, 50);
+fn the_status_report_of_an_entry_scans_only_its_own_requests() {
+    let mut pool = pool(LARGE_FLEET);
+    run_requests(&mut pool, 0, 50);
     let before = pool.looks();
     for number in 0..ENTRIES {
         let entry = entry(number);
@@ -109,37 +112,37 @@
         let of_entry: Vec<_> = of_entry.collect();
         pool.renew(at(1_000), &entry, &of_entry);
     }
-    assert!(pool.looks() - before <= 200, "{} looks", pool.looks() - before);
+    assert!(pool.looks() - before <= 200, "{} members scanned", pool.looks() - before);
 }
 
 #[test]
-fn a_tick_looks_at_what_runs_alone() {
-    let mut pool = pool(MANY);
-    play(&mut pool, 0, 50);
+fn a_tick_scans_only_running_requests() {
+    let mut pool = pool(LARGE_FLEET);
+    run_requests(&mut pool, 0, 50);
     let before = pool.looks();
     pool.tick(at(1_000));
-    assert!(pool.looks() - before <= 100, "{} looks", pool.looks() - before);
+    assert!(pool.looks() - before <= 100, "{} members scanned", pool.looks() - before);
 }
 
 #[test]
-fn an_upstream_that_fails_is_compared_with_some_others() {
-    let mut pool = pool(MANY);
-    play(&mut pool, 0, 50);
+fn a_failing_upstream_is_compared_with_only_a_sample_of_others() {
+    let mut pool = pool(LARGE_FLEET);
+    run_requests(&mut pool, 0, 50);
     let before = pool.looks();
     pool.release(at(1_000), id::Attempt(REQUESTS - 1), Outcome::Failed, None);
-    assert!(pool.looks() - before <= 200, "{} looks", pool.looks() - before);
+    assert!(pool.looks() - before <= 200, "{} members scanned", pool.looks() - before);
 }
 
-/// Requests of many prompts, more at once than there are engines, of which each runs while `running` others do. Gives the tokens
-/// that were to be read, and the most that one engine ran.
-fn crowd(pool: &mut Pool, running: u128) -> (u64, u32) {
-    let (mut read, mut most) = (0, 0);
+/// Sends requests with many prompts, of which `running` run at once, more than there are engines. Returns the prompt
+/// tokens that had to be prefilled, and the maximum number of requests that one engine ran.
+fn run_concurrent(pool: &mut Pool, running: u128) -> (u64, u32) {
+    let (mut read, mut max_running) = (0, 0);
     for number in 0..running * 3 {
         let now = at(u64::try_from(number).unwrap());
         let number64 = u64::try_from(number).unwrap();
         let prompt = number64 * 7_919 % 400;
         let parts = [(prompt % 4 + 1, 2_000), (1_000 + prompt, 6_000), (1_000_000 + number64, 500)];
-        let answers = pool.ask(now, Ask { entry: entry(number), ..ask(number, 0, &parts) });
+        let answers = pool.ask(now, Ask { entry: entry(number), ..request(number, 0, &parts) });
         for answer in &answers {
             if let Verdict::Granted { read: tokens, .. } = &answer.verdict {
                 read += u64::from(*tokens);
@@ -149,16 +152,16 @@
         if number >= running {
             pool.release(now, id::Attempt(number - running), Outcome::Served, None);
         }
-        most = most.max(pool.members().map(stairvale_dispatch::Member::running).max().unwrap());
+        max_running = max_running.max(pool.members().map(stairvale_dispatch::Member::running).max().unwrap());
     }
-    (read, most)
+    (read, max_running)
 }
 
 #[test]
-fn a_short_look_at_a_crowd_is_as_good_as_a_whole_one() {
+fn a_partial_scan_under_high_concurrency_is_as_good_as_a_full_scan() {
     const ENGINES: usize = 600;
-    let (mut short, mut whole) = (pool(ENGINES), pool(ENGINES).with_whole_look());
-    let (short, whole) = (crowd(&mut short, 1_500), crowd(&mut whole, 1_500));
-    assert!(short.0 * 100 <= whole.0 * 102, "{short:?} and {whole:?}");
-    assert!(short.1 <= whole.1 + 1, "{short:?} and {whole:?}");
+    let (mut partial, mut full) = (pool(ENGINES), pool(ENGINES).with_whole_look());
+    let (partial, full) = (run_concurrent(&mut partial, 1_500), run_concurrent(&mut full, 1_500));
+    assert!(partial.0 * 100 <= full.0 * 102, "{partial:?} and {full:?}");
+    assert!(partial.1 <= full.1 + 1, "{partial:?} and {full:?}");
 }
--- a/crates/stairvale-dispatch/tests/parts.rs
+++ b/crates/stairvale-dispatch/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The smaller parts: the retry window, the cache model, what entries remember.
+//! The retry budget, the cache model, the prefill model and the prefix locations that entries remember.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn retries_come_back_after_the_window() {
+fn retries_are_available_again_after_the_window() {
     let mut window = Window::default();
     assert!(window.spend(Moment::from_millis(0), budget(), 10));
     assert!(!window.spend(Moment::from_millis(9_000), budget(), 10));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_oldest_part_gives_way() {
+fn the_least_recently_used_block_is_evicted() {
     let mut cache = Cache::new(1_000);
     cache.read(&parts(&[(1, 400)]));
     cache.read(&parts(&[(2, 400)]));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_part_counts_only_behind_the_same_beginning() {
+fn a_block_counts_only_behind_the_same_prefix() {
     let mut cache = Cache::new(1_000);
     cache.read(&parts(&[(1, 100), (2, 100)]));
     assert_eq!(cache.covers(&parts(&[(1, 100), (2, 100), (3, 100)])), 200);
@@ -52,45 +52,51 @@
 }
 
 #[test]
-fn what_is_taken_over_is_what_others_may_share() {
+fn only_shared_blocks_are_taken_over() {
     let (mut old, mut new) = (Cache::new(1_000), Cache::new(1_000));
     old.read(&parts(&[(1, 100), (2, 100), (9, 100)]));
     new.learn(&old.shared());
     assert_eq!(new.covers(&parts(&[(1, 100), (2, 100), (8, 100)])), 200);
-    assert_eq!(new.covers(&parts(&[(1, 100), (2, 100), (9, 100)])), 200, "the last part was a request's own");
+    assert_eq!(
+        new.covers(&parts(&[(1, 100), (2, 100), (9, 100)])),
+        200,
+        "the last block isn't shared with other prompts"
+    );
 }
 
 #[test]
-fn entries_remember_the_longest_chain() {
+fn entries_remember_the_longest_prefix() {
     let mut seen = Seen::default();
     let (e1, e2): (id::Upstream, id::Upstream) = ("e1".parse().unwrap(), "e2".parse().unwrap());
     seen.remember(&parts(&[(1, 10), (2, 10), (9, 10)]), &e1);
     seen.remember(&parts(&[(1, 10), (3, 10), (8, 10)]), &e2);
     assert_eq!(seen.find(&parts(&[(1, 10), (2, 10), (7, 10)])), Some((2, e1)));
     assert_eq!(seen.find(&parts(&[(1, 10), (4, 10), (7, 10)])), Some((1, e2)));
-    assert_eq!(seen.find(&parts(&[(1, 10)])), None, "the last part is the request's own");
+    assert_eq!(seen.find(&parts(&[(1, 10)])), None, "the last block isn't shared with other prompts");
 }
 
 quickcheck! {
-    /// Whatever engines there are, a base and a rate are learned from answers to prompts of all sizes, with some that took far longer.
+    /// For any engine, the base time and the prefill rate are learned from the first events of prompts of all sizes,
+    /// although some took far longer.
     fn the_time_to_the_first_event_is_learned(base: u8, rate: u8, sizes: Vec<u16>) -> bool {
-        let (base, each) = (5.0 + f64::from(base), 1.0 / (10.0 + f64::from(rate)));
+        let (base, per_token) = (5.0 + f64::from(base), 1.0 / (10.0 + f64::from(rate)));
         let mut reading = Reading::default();
         for round in 0..400_u32 {
             let size = sizes.get(round as usize % sizes.len().max(1)).copied().unwrap_or(50);
             let tokens = if round % 2 == 0 { f64::from(size % 200) } else { 800.0 + f64::from(size) };
             let late = if round % 50 == 7 { 500.0 } else { 0.0 };
-            reading.observe(tokens, base + tokens * each + late);
+            reading.observe(tokens, base + tokens * per_token + late);
         }
-        let expected = |tokens: f64| base + tokens * each;
+        let expected = |tokens: f64| base + tokens * per_token;
         [100.0, 2_000.0, 20_000.0].iter().all(|tokens| {
             let ratio = reading.first(*tokens) / expected(*tokens);
             (0.6..1.9).contains(&ratio)
         })
     }
 
-    /// Whenever one is spent, the retries of the window that ends there stay within the ratio and an equal part of what is free.
-    fn the_budget_holds(events: Vec<(u16, bool)>) -> bool {
+    /// Whenever a retry is spent, the retries of the window that ends there stay within the ratio and an equal share of
+    /// the free retries.
+    fn retries_stay_within_the_budget(events: Vec<(u16, bool)>) -> bool {
         let mut window = Window::default();
         let mut now = 0_u64;
         let mut all: Vec<(u64, bool)> = Vec::new();
@@ -117,15 +123,15 @@
         true
     }
 
-    /// A cache never says that it holds more of a prompt than the prompt has.
-    fn covers_are_within_the_prompt(prompts: Vec<Vec<(u64, u16)>>) -> bool {
+    /// The covered tokens of a prompt are never more than the prompt has.
+    fn covered_tokens_do_not_exceed_the_prompt(prompts: Vec<Vec<(u64, u16)>>) -> bool {
         let mut cache = Cache::new(50_000);
         prompts.iter().all(|prompt| {
             let prompt: Vec<_> = prompt.iter().map(|(id, tokens)| Part { id: id % 8, tokens: u32::from(*tokens) }).collect();
-            let whole: u32 = prompt.iter().map(|part| part.tokens).sum();
+            let total: u32 = prompt.iter().map(|part| part.tokens).sum();
             let covered = cache.covers(&prompt);
             cache.read(&prompt);
-            covered <= whole
+            covered <= total
         })
     }
 }
--- a/crates/stairvale-dispatch/tests/paths.rs
+++ b/crates/stairvale-dispatch/tests/paths.rs
@@ -1,4 +1,5 @@
-//! Whether engines can copy from another zone is learnt from how long copies take.
+//! Detection of faults between zones from late copies: a home stops copies between two zones whose engines can't copy
+//! from each other.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,15 +8,15 @@
 use stairvale_dispatch::{Answer, Ask, Listing, Outcome, Part, Pool, Verdict, pool::Rules};
 use stairvale_types::{Moment, id, unit};
 
-/// A prompt's beginning, in tokens.
-const BEGINNING: u32 = 8_000;
+/// Length of a prompt's shared prefix, in tokens.
+const PREFIX_TOKENS: u32 = 8_000;
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
 }
 
-fn ask(number: u128, prompt: u64) -> Ask {
-    let own = Part { id: 1_000 + u64::try_from(number).unwrap(), tokens: 500 };
+fn request(number: u128, prompt: u64) -> Ask {
+    let unique = Part { id: 1_000 + u64::try_from(number).unwrap(), tokens: 500 };
     Ask {
         attempt: id::Attempt(number),
         entry: "r1".parse().unwrap(),
@@ -25,7 +26,7 @@
         fingerprint: id::Fingerprint::default(),
         priority: 1,
         repeatable: true,
-        parts: vec![Part { id: prompt, tokens: BEGINNING }, own],
+        parts: vec![Part { id: prompt, tokens: PREFIX_TOKENS }, unique],
         output: 50,
         objective: Duration::from_millis(500),
         patience: Duration::from_millis(100),
@@ -42,7 +43,7 @@
     })
 }
 
-/// Engines of these zones in order; the prompts 1 to 20 are at the first `holders` of them.
+/// Engines e0, e1 and so on in the given zones. The first `holders` of them hold the prefixes of prompts 1 to 20.
 fn pool(zones: &[&str], holders: usize) -> (Pool, Vec<id::Upstream>) {
     let listing = |(index, zone): (usize, &&str)| Listing {
         id: format!("e{index}").parse().unwrap(),
@@ -53,24 +54,25 @@
         revision: 1,
         version: None,
     };
-    let known: Vec<_> = zones.iter().enumerate().map(listing).collect();
+    let members: Vec<_> = zones.iter().enumerate().map(listing).collect();
     let rules = Rules { engine: Some(unit::Tokens(400_000)), copies: true, multiple: 0.0, slack: 3.0, cold: None };
     let mut pool = Pool::new(rules);
-    pool.set_members(at(0), &known);
-    let ids: Vec<_> = known.into_iter().map(|listing| listing.id).collect();
+    pool.set_members(at(0), &members);
+    let ids: Vec<_> = members.into_iter().map(|listing| listing.id).collect();
     for (holder, prompt) in (0..holders).flat_map(|holder| (1..=20).map(move |prompt| (holder, prompt))) {
-        pool.learn_read(&ids[holder], &ask(u128::from(prompt), prompt).parts);
+        pool.learn_read(&ids[holder], &request(u128::from(prompt), prompt).parts);
     }
     (pool, ids)
 }
 
-/// Asks for a prompt at the last engine; its first event comes so much later, if it does. Gives whom it copied from.
-fn copy(pool: &mut Pool, ids: &[id::Upstream], now: u64, prompt: u64, took: Option<u64>) -> Option<id::Upstream> {
+/// Sends a request with a prompt to the last engine. Its first event arrives after `took_ms`, or never if that is
+/// `None`. Returns the engine to copy from.
+fn copy(pool: &mut Pool, ids: &[id::Upstream], now: u64, prompt: u64, took_ms: Option<u64>) -> Option<id::Upstream> {
     let number = 100_000 + u128::from(now) * 100 + u128::from(prompt);
-    let mut ask = ask(number, prompt);
-    ask.avoid = ids[..ids.len() - 1].to_vec();
-    let from = source(&pool.ask(at(now), ask));
-    if let Some(took) = took {
+    let mut request = request(number, prompt);
+    request.avoid = ids[..ids.len() - 1].to_vec();
+    let from = source(&pool.ask(at(now), request));
+    if let Some(took) = took_ms {
         pool.begun(at(now + took), id::Attempt(number), Duration::from_millis(took));
         pool.release(at(now + took), id::Attempt(number), Outcome::Served, None);
     }
@@ -78,23 +80,23 @@
 }
 
 #[test]
-fn after_copies_from_a_zone_were_late_one_at_a_time_tries_again() {
+fn after_late_copies_from_a_zone_one_request_at_a_time_tries_to_copy() {
     let (mut pool, ids) = pool(&["far", "near"], 1);
     let far = Some(ids[0].clone());
     assert_eq!(copy(&mut pool, &ids, 1_000, 1, Some(900)), far);
-    assert_eq!(copy(&mut pool, &ids, 2_000, 2, Some(900)), far, "one alone says little");
-    assert_eq!(copy(&mut pool, &ids, 2_950, 3, Some(300)), None, "it is read rather than waited for");
+    assert_eq!(copy(&mut pool, &ids, 2_000, 2, Some(900)), far, "one late copy isn't enough");
+    assert_eq!(copy(&mut pool, &ids, 2_950, 3, Some(300)), None, "the prefix is prefilled instead of copied");
     assert_eq!(copy(&mut pool, &ids, 3_300, 4, Some(300)), None);
-    assert_eq!(copy(&mut pool, &ids, 4_000, 5, None), far, "one tries");
-    assert_eq!(copy(&mut pool, &ids, 4_010, 6, Some(300)), None, "and the others wait for what becomes of it");
-    assert_eq!(copy(&mut pool, &ids, 5_900, 7, Some(300)), None, "it is tried less often from time to time");
+    assert_eq!(copy(&mut pool, &ids, 4_000, 5, None), far, "one request tries to copy");
+    assert_eq!(copy(&mut pool, &ids, 4_010, 6, Some(300)), None, "the others don't copy until its outcome is known");
+    assert_eq!(copy(&mut pool, &ids, 5_900, 7, Some(300)), None, "the pause between trials grows");
     assert_eq!(copy(&mut pool, &ids, 6_100, 8, Some(100)), far);
-    assert_eq!(copy(&mut pool, &ids, 6_300, 9, Some(100)), far, "and all copy again once one came in time");
+    assert_eq!(copy(&mut pool, &ids, 6_300, 9, Some(100)), far, "all requests copy again after one timely copy");
     assert_eq!(copy(&mut pool, &ids, 6_500, 10, Some(100)), far);
 }
 
 #[test]
-fn late_copies_with_good_ones_between_them_close_nothing() {
+fn late_copies_with_timely_ones_in_between_do_not_stop_copies() {
     let (mut pool, ids) = pool(&["far", "near"], 1);
     for step in 0..8 {
         let took = if step % 2 == 0 { 900 } else { 100 };
@@ -103,8 +105,8 @@
 }
 
 #[test]
-fn late_copies_from_one_zone_do_not_keep_from_copying_elsewhere() {
-    // The first two hold all; each alone would be told as a source, and the third one holds all, too.
+fn late_copies_from_one_zone_do_not_stop_copies_from_another() {
+    // The first three engines hold all prefixes, so that any of them may be the copy source.
     let (mut pool, ids) = pool(&["other", "far", "far", "near"], 3);
     let mut sources = Vec::new();
     for step in 0..12 {
@@ -121,27 +123,28 @@
 }
 
 #[test]
-fn a_late_copy_within_a_zone_says_nothing_of_ways_between_zones() {
+fn late_copies_within_a_zone_do_not_stop_copies() {
     let (mut pool, ids) = pool(&["near", "near"], 1);
     for step in 0..4 {
         assert_eq!(copy(&mut pool, &ids, 1_000 * (step + 1), step + 1, Some(900)), Some(ids[0].clone()));
     }
 }
 
-/// While a way between zones is shut, sources of copies are looked for zone by zone. To know the zones each decision sorted those of
-/// all members: with 9,600 engines that took three quarters of a home's time, as a profile of it showed, and the home half of a core.
+/// While copies between two zones are stopped, copy sources are searched zone by zone. If each decision sorted the
+/// zones of all members to list them, that would take three quarters of a home's CPU time with 9,600 engines, and the
+/// home would use half a core.
 #[test]
-fn a_decision_while_a_way_is_shut_takes_no_longer_with_more_engines() {
-    let looks = [400, 4_000].map(|engines| {
+fn a_decision_while_copies_are_stopped_takes_no_more_scans_with_more_engines() {
+    let scans = [400, 4_000].map(|engines| {
         let zones: Vec<_> = (0..engines).map(|index| if index % 2 == 0 { "far" } else { "near" }).collect();
         let (mut pool, ids) = pool(&zones, 1);
         copy(&mut pool, &ids, 100, 1, Some(2_000));
         copy(&mut pool, &ids, 2_200, 2, Some(2_000));
         let before = pool.looks();
         for number in 0..20 {
-            pool.ask(at(4_300), ask(number, 3 + u64::try_from(number).unwrap()));
+            pool.ask(at(4_300), request(number, 3 + u64::try_from(number).unwrap()));
         }
         pool.looks() - before
     });
-    assert!(looks[1] <= looks[0] * 5 / 4, "{looks:?} looks");
+    assert!(scans[1] <= scans[0] * 5 / 4, "{scans:?} members scanned");
 }
