--- a/crates/stairvale-dispatch/tests/looks.rs
+++ b/crates/stairvale-dispatch/tests/looks.rs
@@ -27,7 +27,7 @@
 
 fn pool(upstreams: usize) -> Pool {
     let mut pool = fleet::pool(engines(), upstreams, 0, 32);
-    // Marks the engines' prefixes as known: otherwise the first decisions would query engines for them.
+    // Marks the engines' prefixes as known; otherwise a router queries the engines for them.
     pool.unknown(|_| true);
     pool
 }
--- a/crates/stairvale-dispatch/tests/suspects.rs
+++ b/crates/stairvale-dispatch/tests/suspects.rs
@@ -25,7 +25,7 @@
 }
 
 /// Evidence that an upstream terminated under a request that had run for `ran_ms` ms.
-fn ended(fingerprint: id::Fingerprint, number: u64, ran_ms: u64) -> Evidence {
+fn termination(fingerprint: id::Fingerprint, number: u64, ran_ms: u64) -> Evidence {
     Evidence::Ended { fingerprint, upstream: upstream(number), ran: Duration::from_millis(ran_ms) }
 }
 
@@ -43,7 +43,7 @@
     let end = |number: u64| {
         let now = 60_000 + (from + number) * 1_000;
         for fingerprint in fingerprints {
-            suspects.learn(at(now), &ended(*fingerprint, from + number, 400));
+            suspects.learn(at(now), &termination(*fingerprint, from + number, 400));
         }
         suspects.judge(at(now + 150), 12).len()
     };
@@ -70,7 +70,7 @@
 fn a_termination_that_many_entries_report_counts_once() {
     let mut suspects = observed();
     for number in 0..30 {
-        suspects.learn(at(60_000 + number), &ended(CAUSE, 0, 400));
+        suspects.learn(at(60_000 + number), &termination(CAUSE, 0, 400));
     }
     assert_eq!(suspects.ends(CAUSE), 1);
 }
@@ -87,7 +87,7 @@
 #[test]
 fn terminations_that_a_cause_explains_do_not_count_against_others() {
     let mut suspects = observed();
-    suspects.learn(at(60_000), &ended(BYSTANDER, 0, 400));
+    suspects.learn(at(60_000), &termination(BYSTANDER, 0, 400));
     assert_eq!(terminate_under(&mut suspects, &[CAUSE], 0, 3), [0, 0, 1]);
     assert_eq!(suspects.ends(BYSTANDER), 0);
 }
@@ -95,7 +95,7 @@
 #[test]
 fn an_upstream_that_answers_later_has_not_terminated() {
     let mut suspects = observed();
-    suspects.learn(at(60_000), &ended(CAUSE, 0, 400));
+    suspects.learn(at(60_000), &termination(CAUSE, 0, 400));
     suspects.answered(at(60_100), &upstream(0), at(59_000));
     assert_eq!(suspects.ends(CAUSE), 1, "it may have been served before the termination and reported late");
     suspects.answered(at(61_000), &upstream(0), at(59_000));
@@ -114,7 +114,7 @@
     let mut suspects = observed();
     terminate_under(&mut suspects, &[CAUSE], 0, 2);
     for number in 0..20_000 {
-        suspects.learn(at(63_000), &ended(id::Fingerprint(1_000 + number), 10 + number / 60, 400));
+        suspects.learn(at(63_000), &termination(id::Fingerprint(1_000 + number), 10 + number / 60, 400));
     }
     assert!(suspects.len() <= 4_096);
     assert_eq!(suspects.ends(CAUSE), 2);
@@ -129,7 +129,7 @@
         let others =
             (0..7).map(|other| 100_000 + number * 7 + other).chain((0..3).map(|other| 50 + (number * 3 + other) % 900));
         for other in others.chain([10_000 + number]) {
-            suspects.learn(at(now), &ended(id::Fingerprint(other), number, 400));
+            suspects.learn(at(now), &termination(id::Fingerprint(other), number, 400));
         }
         assert_eq!(suspects.judge(at(now + 40), 12), [], "after {number} terminations");
         // These three are repeated, and served by an upstream that keeps running.
@@ -170,19 +170,19 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut terminations = Vec::new();
         for number in 0..12 {
-            let (mut ends, mut now) = (Vec::new(), 0);
+            let (mut times, mut now) = (Vec::new(), 0);
             while number % 2 == 0 && now < DURATION_MS {
                 // An upstream restarts after two seconds.
                 now += 2_000 + rng.random_range(0..mean_lifetime * 2);
-                ends.push(now);
+                times.push(now);
             }
-            terminations.push(ends);
+            terminations.push(times);
         }
         Self { rng, suspects: Suspects::default(), terminations }
     }
 
     /// Runs `requests` harmless requests and, if `cause` is set, one that makes upstreams terminate. Returns the found
-    /// causes, and how many upstreams that request made terminate.
+    /// causes, and how many upstreams terminated under that request.
     fn run(&mut self, requests: u64, cause: bool) -> (Vec<id::Fingerprint>, usize) {
         let mut runs: Vec<Run> = Vec::new();
         for number in 0..requests {
@@ -205,7 +205,7 @@
                 fatal_after: Some(300),
             });
         }
-        let (mut events, mut found, mut ends) = (std::collections::BTreeMap::new(), Vec::new(), 0);
+        let (mut events, mut found, mut cause_ends) = (std::collections::BTreeMap::new(), Vec::new(), 0);
         let mut number = 0_u64;
         for run in runs {
             number += 1;
@@ -217,14 +217,15 @@
                 Ok(run) if found.contains(&run.fingerprint) => {}
                 Ok(run) => {
                     let index = self.rng.random_range(0..self.terminations.len());
-                    let natural = self.terminations[index].iter().copied().find(|end| *end > now).unwrap_or(u64::MAX);
-                    let end = natural.min(run.fatal_after.map_or(u64::MAX, |after| now + after));
+                    let natural_end =
+                        self.terminations[index].iter().copied().find(|end| *end > now).unwrap_or(u64::MAX);
+                    let end = natural_end.min(run.fatal_after.map_or(u64::MAX, |after| now + after));
                     let finish = end.min(now + run.duration);
                     number += 1;
                     let evidence = if finish == end {
                         // The name of an incarnation contains the time of its termination.
                         let upstream = format!("e{index}-{end}").parse().unwrap();
-                        ends += usize::from(run.fatal_after.is_some());
+                        cause_ends += usize::from(run.fatal_after.is_some());
                         let retry_at = now + 500 + self.rng.random_range(0..1_000);
                         let attempts_left = run.attempts_left - 1;
                         let fingerprint = run.fingerprint;
@@ -247,7 +248,7 @@
             }
         }
         found.extend(self.suspects.judge(at(DURATION_MS * 2), 12));
-        (found, ends)
+        (found, cause_ends)
     }
 }
 
@@ -293,7 +294,7 @@
                 suspects.learn(at(now), &Evidence::Served { fingerprint });
             } else {
                 ends.entry(fingerprint).or_default().insert(*index);
-                suspects.learn(at(now), &ended(fingerprint, u64::from(*index), 300));
+                suspects.learn(at(now), &termination(fingerprint, u64::from(*index), 300));
             }
             let found = suspects.judge(at(now), 3);
             found.iter().all(|found| ends.contains_key(found)) && suspects.len() <= 4
