--- a/crates/stairvale-rollout/src/clock.rs
+++ b/crates/stairvale-rollout/src/clock.rs
@@ -1,31 +1,32 @@
-//! How long ago an order was given, as far as this router can know.
+//! The age of an order, as far as this router can determine it.
 
 use std::time::Duration;
 
 use stairvale_types::Moment;
 
-/// The age of the newest order. Routers' clocks are never compared: each counts from when it saw the order or a record of it.
+/// The age of the newest order. Routers' clocks are never compared: each router counts from the moment when it received
+/// the order or a record of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Clock {
+pub struct OrderClock {
     /// The store's revision of the order.
     order: u64,
-    /// Its age...
+    /// Age of the order at `observed_at`.
     age: Duration,
-    /// ... at this moment.
-    at: Moment,
+    /// When the age was last observed.
+    observed_at: Moment,
 }
 
-impl Clock {
-    /// The order of this revision was at least this old at `now`.
-    pub fn note(&mut self, now: Moment, order: u64, age: Duration) {
+impl OrderClock {
+    /// Records that the order of this revision had at least this age at `now`.
+    pub fn observe_age(&mut self, now: Moment, order: u64, age: Duration) {
         if order > self.order || order == self.order && age > self.age(now) {
-            *self = Self { order, age, at: now };
+            *self = Self { order, age, observed_at: now };
         }
     }
 
-    /// The newest order's age.
+    /// The age of the newest order at `now`.
     #[must_use]
     pub fn age(&self, now: Moment) -> Duration {
-        self.age + now.since(self.at)
+        self.age + now.since(self.observed_at)
     }
 }
--- a/crates/stairvale-rollout/src/judge.rs
+++ b/crates/stairvale-rollout/src/judge.rs
@@ -1,4 +1,5 @@
-//! Whether a version is bad, by what became of its requests beside the old version's.
+//! The judge of a canary analysis: whether a version is failing, by comparing the results of its requests with the old
+//! version's. A bad answer is one that failed or was slow; a failing version gives significantly more of them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -13,159 +14,168 @@
     record::{Cause, Tally},
 };
 
-/// The new version's answers are weighed so much later, when the old version has shown the trouble of the same moment, too.
-const WAIT: Duration = Duration::from_millis(500);
-/// Among so many first answers of an upstream slow ones say nothing: it may have been cold...
-const COLD: u32 = 2;
-/// ... until later ones were slow at so many upstreams.
-const WARM: usize = 2;
-/// How much more must speak against a version where the old one gets too little to be compared with.
-const CAUTION: f64 = 8.0;
-/// Beyond this share nothing can be told from the comparison.
-const HIGHEST: f64 = 0.7;
-/// Answers of each route and upstream that are kept until they are weighed.
-const MOST_WAITING: usize = 20_000;
-
-/// What became of a request, as far as it says something of a version.
+/// Delay after which the new version's answers are weighed. By then a fault that affects both versions has also shown
+/// at the old one.
+const WEIGHING_DELAY: Duration = Duration::from_millis(500);
+/// Number of first answers of an upstream among which slow ones are ignored, since the upstream may be warming up.
+const WARM_UP_ANSWERS: u32 = 2;
+/// Once this many upstreams were slow after their warm-up, slow first answers count as well.
+const MIN_SLOW_UPSTREAMS: usize = 2;
+/// Factor by which the required evidence is raised where the old version gets too few requests to be compared with.
+const NO_BASELINE_CAUTION: f64 = 8.0;
+/// Maximum share of bad answers to compare with. Beyond it the comparison shows nothing.
+const MAX_BASELINE_SHARE: f64 = 0.7;
+/// Maximum number of answers that wait to be weighed.
+const MAX_WAITING: usize = 20_000;
+
+/// The result of a request, as far as it says something about a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// It was served in about the time that was expected.
+    /// The request was served in about the expected time.
     Good,
-    /// It was answered with a failure of the upstream's own, broken off, or not answered at all.
+    /// The upstream itself answered with a failure, broke off its answer or did not answer.
     Failed,
-    /// It was served, or is still not, several times later than was expected.
+    /// The request was served several times later than expected, or still is not.
     Slow,
 }
 
-/// What became of one request.
+/// The result of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Its route.
+    /// The request's route.
     pub route: id::Route,
-    /// Where it ran.
+    /// The upstream at which the request ran.
     pub upstream: id::Upstream,
-    /// Whether that is of the version on trial.
+    /// Whether that upstream is of the version on trial.
     pub is_new: bool,
-    /// What became of it.
+    /// The result of the request.
     pub answer: Answer,
 }
 
-/// One route at both versions.
+/// The results on one route at both versions.
 #[derive(Clone, Debug, Default)]
-struct Pair {
+struct Comparison {
     old: Baseline,
     new: Evidence,
 }
 
-/// Compares two versions, route by route and over all routes together.
+/// Compares two versions, on each route and on all routes together.
 ///
-/// The old version's answers on a route in these seconds say which share of bad answers a good version might have; each
-/// answer of the new one then speaks for or against it. One sick upstream condemns no version where others were tried.
+/// The old version's recent answers on a route show which share of bad answers a healthy version might have. Each
+/// answer of the new version is then evidence for or against it. One faulty upstream doesn't lead to the rejection of a
+/// version when others were tried.
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
-    routes: BTreeMap<id::Route, Pair>,
-    /// Over all routes: trouble that has just begun shows sooner there, and so does what is bad a little on each.
-    whole: Pair,
-    /// Answers of the new version that aren't weighed yet, in the order in which they came.
+    routes: BTreeMap<id::Route, Comparison>,
+    /// The comparison over all routes. A fault that has just begun shows sooner there, and so does a version that is
+    /// slightly worse on every route.
+    all_routes: Comparison,
+    /// Answers of the new version that have not been weighed yet, in the order of their arrival.
     waiting: VecDeque<(Moment, Observation)>,
-    /// Answers of each upstream of the new version.
+    /// Number of answers of each upstream of the new version.
     answers: BTreeMap<id::Upstream, u32>,
-    /// Slow ones among their first: where, on which route, with the share of bad answers to compare with.
-    cold: Vec<(id::Upstream, id::Route, f64)>,
-    /// Upstreams that were slow later, too.
-    warm: BTreeSet<id::Upstream>,
+    /// Slow first answers that were ignored: the upstream, the route and the share of bad answers to compare with.
+    slow_starts: Vec<(id::Upstream, id::Route, f64)>,
+    /// Upstreams that were still slow after their warm-up.
+    slow_after_warm_up: BTreeSet<id::Upstream>,
 }
 
 impl Judge {
-    /// A judge that goes on with what earlier homes counted.
+    /// Creates a judge that continues from the counts of earlier homes.
     #[must_use]
-    pub fn resumed(now: Moment, routes: &BTreeMap<id::Route, Tally>) -> Self {
+    pub fn resume(now: Moment, routes: &BTreeMap<id::Route, Tally>) -> Self {
         let mut judge = Self::default();
         for (route, tally) in routes {
-            let pair = judge.routes.entry(*route).or_default();
-            pair.old.recall(&tally.old);
+            let comparison = judge.routes.entry(*route).or_default();
+            comparison.old.add_recorded(&tally.old);
             let bad = tally.new.failed + tally.new.slow;
             let [answers, bad] = [tally.new.answers, bad].map(|count| u32::try_from(count).unwrap_or(u32::MAX));
-            pair.new.recall(pair.old.share(now), answers, bad);
-            judge.whole.new.recall(pair.old.share(now), answers, bad);
+            comparison.new.add_recorded(comparison.old.share(now), answers, bad);
+            judge.all_routes.new.add_recorded(comparison.old.share(now), answers, bad);
         }
         judge
     }
 
-    /// A request ended.
+    /// Takes the result of a request.
     pub fn observe(&mut self, now: Moment, observation: &Observation) {
         if !observation.is_new {
-            let pair = self.routes.entry(observation.route).or_default();
-            pair.old.count(now, observation.answer != Answer::Good);
-            self.whole.old.count(now, observation.answer != Answer::Good);
+            let comparison = self.routes.entry(observation.route).or_default();
+            comparison.old.count(now, observation.answer != Answer::Good);
+            self.all_routes.old.count(now, observation.answer != Answer::Good);
             return;
         }
         self.waiting.push_back((now, observation.clone()));
-        if self.waiting.len() > MOST_WAITING {
+        if self.waiting.len() > MAX_WAITING {
             self.weigh_first(now);
         }
     }
 
-    /// Weighs what has waited for long enough.
-    pub fn settle(&mut self, now: Moment) {
-        while self.waiting.front().is_some_and(|(at, _)| now.since(*at) >= WAIT) {
+    /// Weighs the answers whose delay is over.
+    pub fn weigh_due(&mut self, now: Moment) {
+        while self.waiting.front().is_some_and(|(at, _)| now.since(*at) >= WEIGHING_DELAY) {
             self.weigh_first(now);
         }
     }
 
-    /// The route on which the new version is bad, and in which way, if it is.
+    /// The route on which the new version is failing, and the cause, if it is.
     #[must_use]
     pub fn verdict(&self, now: Moment) -> Option<(id::Route, Cause)> {
-        let of_route = self.routes.iter().find_map(|(route, pair)| {
-            let cause = pair.new.verdict(self.caution(&pair.old, now), self.waiting(Some(*route)))?;
+        let on_one_route = self.routes.iter().find_map(|(route, comparison)| {
+            let cause = comparison.new.verdict(self.caution(&comparison.old, now), self.waiting_bad(Some(*route)))?;
             Some((*route, cause))
         });
-        of_route.or_else(|| {
-            let (route, _) = self.routes.iter().max_by_key(|(_, pair)| pair.new.bad())?;
-            let cause = self.whole.new.verdict(self.caution(&self.whole.old, now), self.waiting(None))?;
+        on_one_route.or_else(|| {
+            let (route, _) = self.routes.iter().max_by_key(|(_, comparison)| comparison.new.bad())?;
+            let cause = self.all_routes.new.verdict(self.caution(&self.all_routes.old, now), self.waiting_bad(None))?;
             Some((*route, cause))
         })
     }
 
-    /// Whether something speaks against the version, be it a single upstream: others should be tried.
+    /// Whether there is evidence against the version, even of a single upstream. Other upstreams should be tried then.
     #[must_use]
-    pub fn suspects(&self) -> bool {
-        self.whole.new.suspects() || self.routes.values().any(|pair| pair.new.suspects())
+    pub fn is_suspected(&self) -> bool {
+        self.all_routes.new.is_suspected() || self.routes.values().any(|comparison| comparison.new.is_suspected())
     }
 
-    /// Whether something speaks against the version that isn't a single upstream's: more should be seen of it.
+    /// Whether there is evidence against the version even without its worst upstream. More answers should be observed
+    /// then.
     #[must_use]
-    pub fn doubts(&self) -> bool {
-        self.whole.new.doubts() || self.routes.values().any(|pair| pair.new.doubts())
+    pub fn is_suspected_without_worst(&self) -> bool {
+        self.all_routes.new.is_suspected_without_worst()
+            || self.routes.values().any(|comparison| comparison.new.is_suspected_without_worst())
     }
 
-    /// Bad answers that aren't weighed yet, of one route or of all.
-    fn waiting(&self, route: Option<id::Route>) -> u32 {
+    /// Number of bad answers that have not been weighed yet, on one route or on all.
+    fn waiting_bad(&self, route: Option<id::Route>) -> u32 {
         let bad = self.waiting.iter().filter(|(_, observation)| observation.answer != Answer::Good);
         let bad = bad.filter(|(_, observation)| route.is_none_or(|route| observation.route == route)).count();
         u32::try_from(bad).unwrap_or(u32::MAX)
     }
 
-    /// What a verdict takes more than usual, on a route or on all: trouble of both versions shows at the old one only as long as
-    /// that one gets about what it got.
+    /// The factor by which a verdict on a route, or on all, needs more evidence than usual. A fault of both versions
+    /// shows at the old version only as long as that gets about as many requests as before.
     fn caution(&self, old: &Baseline, now: Moment) -> f64 {
-        if old.is_known(now) && self.whole.old.is_recent(now) { 1.0 } else { CAUTION }
+        if old.has_enough_answers(now) && self.all_routes.old.has_steady_traffic(now) {
+            1.0
+        } else {
+            NO_BASELINE_CAUTION
+        }
     }
 
     fn weigh_first(&mut self, now: Moment) {
         let Some((_, observation)) = self.waiting.pop_front() else { return };
         let Observation { route, upstream, is_new: _, answer } = observation;
-        let share = self.share(now, route);
+        let share = self.baseline_share(now, route);
         let answers = self.answers.entry(upstream.clone()).or_default();
         *answers = answers.saturating_add(1);
-        if answer == Answer::Slow && self.warm.len() < WARM {
-            if *answers <= COLD {
-                self.cold.push((upstream, route, share));
+        if answer == Answer::Slow && self.slow_after_warm_up.len() < MIN_SLOW_UPSTREAMS {
+            if *answers <= WARM_UP_ANSWERS {
+                self.slow_starts.push((upstream, route, share));
                 return;
             }
-            self.warm.insert(upstream.clone());
-            if self.warm.len() >= WARM {
-                for (upstream, route, share) in std::mem::take(&mut self.cold) {
+            self.slow_after_warm_up.insert(upstream.clone());
+            if self.slow_after_warm_up.len() >= MIN_SLOW_UPSTREAMS {
+                for (upstream, route, share) in std::mem::take(&mut self.slow_starts) {
                     self.add(route, &upstream, answer, share);
                 }
             }
@@ -173,14 +183,14 @@
         self.add(route, &upstream, answer, share);
     }
 
-    /// The share of bad answers that a good version might have on a route now.
-    fn share(&self, now: Moment, route: id::Route) -> f64 {
-        let old = self.routes.get(&route).map(|pair| pair.old).unwrap_or_default();
-        (old.share(now) + self.whole.old.excess(now)).min(HIGHEST)
+    /// The share of bad answers that a healthy version might currently have on a route.
+    fn baseline_share(&self, now: Moment, route: id::Route) -> f64 {
+        let old = self.routes.get(&route).map(|comparison| comparison.old).unwrap_or_default();
+        (old.share(now) + self.all_routes.old.recent_excess(now)).min(MAX_BASELINE_SHARE)
     }
 
     fn add(&mut self, route: id::Route, upstream: &id::Upstream, answer: Answer, share: f64) {
         self.routes.entry(route).or_default().new.add(upstream, answer, share);
-        self.whole.new.add(upstream, answer, share);
+        self.all_routes.new.add(upstream, answer, share);
     }
 }
--- a/crates/stairvale-rollout/src/lib.rs
+++ b/crates/stairvale-rollout/src/lib.rs
@@ -1,10 +1,10 @@
-//! A service moves to another version of its upstreams, with no one in charge.
+//! Moves a service to another version of its upstreams without an operator's supervision (progressive delivery).
 //!
-//! The operator's [`Order`] names the version. The service's home (another router whenever that one dies) keeps a
-//! [`Steward`]: it reserves in the store what the new version may be given before it is known to be good, hands that to the
-//! home's pool as [`Reservation`]s, takes what became of requests as [`Observation`]s, and lets a [`Judge`] compare the two
-//! versions route by route. All that must outlive a router stands in one [`Record`] of the store, changed only by compare
-//! and swap; every router follows its [`Policy`].
+//! The operator's [`Order`] names the version. The service's home runs a roll-out controller (see [`steward`]); another
+//! router takes over when the home dies. The controller reserves in the store what the new version may get before it is
+//! accepted, passes that to the home's pool as [`Reservation`]s, receives the results of requests as [`Observation`]s,
+//! and lets a [`Judge`] compare the two versions on each route. Everything that must survive a router is in one
+//! [`Record`] in the store, which is only changed by compare and swap. Every router follows its [`Policy`].
 //!
 //! ```
 //! use stairvale_rollout::{Admission, Order, Policy};
@@ -31,7 +31,7 @@
 pub mod steward;
 mod trial;
 
-pub use account::Account;
+pub use account::ExposureBudget;
 pub use judge::{Answer, Judge, Observation};
 pub use order::Order;
 pub use policy::{Admission, Policy};
--- a/crates/stairvale-rollout/src/outbox.rs
+++ b/crates/stairvale-rollout/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Writes whose end isn't known, and what was counted since the record was written last.
+//! Writes whose result is unknown, and the counts since the record was last written.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
     record::{Counts, Tally},
 };
 
-/// Answers of the new version that are worth a call to the store...
-const MANY: u64 = 8;
-/// ... and bad ones.
-const SOME_BAD: u64 = 2;
+/// Number of answers of the new version from which an extra write to the store is worthwhile.
+const URGENT_ANSWERS: u64 = 8;
+/// Number of bad answers of the new version from which such a write is worthwhile.
+const URGENT_BAD_ANSWERS: u64 = 2;
 
-/// What was counted and stands in no record yet, as far as is known.
+/// Counts that, as far as this router knows, are not in any record yet.
 #[derive(Clone, Debug, Default)]
-pub struct Delta {
-    /// Requests.
+pub struct UnrecordedCounts {
+    /// Number of requests.
     pub requests: u64,
-    /// What became of them.
+    /// Results of the requests, by route.
     pub routes: BTreeMap<id::Route, Tally>,
 }
 
-impl Delta {
+impl UnrecordedCounts {
     fn observe(&mut self, observation: &Observation) {
         let tally = self.routes.entry(observation.route).or_default();
         let counts = if observation.is_new { &mut tally.new } else { &mut tally.old };
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes away what is in the record now.
+    /// Subtracts counts that are now in the record.
     fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         for (route, taken) in &other.routes {
@@ -46,7 +46,7 @@
         self.routes.retain(|_, tally| *tally != Tally::default());
     }
 
-    /// Adds all to a record.
+    /// Adds the counts to a record.
     pub fn add_to(&self, record: &mut Record) {
         record.requests += self.requests;
         add(&mut record.routes, &self.routes);
@@ -71,143 +71,147 @@
     }
 }
 
-/// What was counted before and since the newest order was seen: an account that begins with the order has the latter alone.
+/// Counts from before and since the newest order was received. An exposure budget that begins with the order only
+/// includes the latter.
 #[derive(Clone, Debug, Default)]
-struct Counted {
-    earlier: Delta,
-    latest: Delta,
+struct CountsByOrder {
+    before_order: UnrecordedCounts,
+    since_order: UnrecordedCounts,
 }
 
-impl Counted {
-    fn mark(&mut self) {
-        let latest = std::mem::take(&mut self.latest);
-        self.earlier.requests += latest.requests;
-        add(&mut self.earlier.routes, &latest.routes);
+impl CountsByOrder {
+    fn start_order(&mut self) {
+        let since_order = std::mem::take(&mut self.since_order);
+        self.before_order.requests += since_order.requests;
+        add(&mut self.before_order.routes, &since_order.routes);
     }
 
     fn subtract(&mut self, other: &Self) {
-        self.earlier.subtract(&other.earlier);
-        self.latest.subtract(&other.latest);
+        self.before_order.subtract(&other.before_order);
+        self.since_order.subtract(&other.since_order);
     }
 
-    fn sum(&self) -> Delta {
-        let mut sum = self.earlier.clone();
-        sum.requests += self.latest.requests;
-        add(&mut sum.routes, &self.latest.routes);
+    fn total(&self) -> UnrecordedCounts {
+        let mut sum = self.before_order.clone();
+        sum.requests += self.since_order.requests;
+        add(&mut sum.routes, &self.since_order.routes);
         sum
     }
 }
 
-/// A write that may be done, or may be later.
+/// A write that may have been executed, or may still be executed later.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentWrite {
     expected: u64,
     record: Record,
-    counted: Counted,
+    counted: CountsByOrder,
 }
 
-/// What this router counted, and what it sent to the store without knowing yet what became of it.
+/// The counts of this router, and the writes that it sent to the store and whose result it doesn't know yet.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    counted: Counted,
-    /// All of one revision expected, so one of them at most is ever done. The last may be under way.
-    sent: Vec<Sent>,
-    is_under_way: bool,
+    counted: CountsByOrder,
+    /// These writes all expect the same revision, so at most one of them is ever executed. The last one may be in
+    /// flight.
+    sent: Vec<SentWrite>,
+    is_write_in_flight: bool,
 }
 
 impl Outbox {
-    /// What stands in no record yet, as far as is known.
+    /// The counts that, as far as this router knows, are not in any record yet.
     #[must_use]
-    pub fn counted(&self) -> Delta {
-        self.counted.sum()
+    pub fn unrecorded(&self) -> UnrecordedCounts {
+        self.counted.total()
     }
 
-    /// Whether so much was seen of the new version, or of its failing, that the next home should know it soon.
+    /// Whether there are so many answers of the new version, or so many bad ones, that the next home should soon find
+    /// them in the record.
     #[must_use]
-    pub fn is_much(&self) -> bool {
-        let new = self.counted.latest.routes.values().map(|tally| tally.new);
+    pub fn has_urgent_evidence(&self) -> bool {
+        let new = self.counted.since_order.routes.values().map(|tally| tally.new);
         let (answers, bad) =
             new.fold((0, 0), |(answers, bad), counts| (answers + counts.answers, bad + counts.failed + counts.slow));
-        answers >= MANY || bad >= SOME_BAD
+        answers >= URGENT_ANSWERS || bad >= URGENT_BAD_ANSWERS
     }
 
-    /// Whether an answer is still to come.
+    /// Whether the result of a write is still outstanding.
     #[must_use]
-    pub fn is_under_way(&self) -> bool {
-        self.is_under_way
+    pub fn is_write_in_flight(&self) -> bool {
+        self.is_write_in_flight
     }
 
-    /// Requests came.
+    /// Counts requests of the service.
     pub fn count(&mut self, requests: u64) {
-        self.counted.latest.requests += requests;
+        self.counted.since_order.requests += requests;
     }
 
-    /// A request ended.
+    /// Counts the result of a request.
     pub fn observe(&mut self, observation: &Observation) {
-        self.counted.latest.observe(observation);
+        self.counted.since_order.observe(observation);
     }
 
-    /// An order is seen for the first time.
-    pub fn mark(&mut self) {
-        self.counted.mark();
+    /// Begins to count for a newly received order.
+    pub fn start_order(&mut self) {
+        self.counted.start_order();
         for sent in &mut self.sent {
-            sent.counted.mark();
+            sent.counted.start_order();
         }
     }
 
-    /// An account begins with the newest order that was seen: what was counted before belongs to another one.
-    pub fn drop_earlier(&mut self) {
-        self.counted.earlier = Delta::default();
+    /// Discards the counts from before the newest order received, since an exposure budget begins with that order.
+    pub fn discard_before_order(&mut self) {
+        self.counted.before_order = UnrecordedCounts::default();
     }
 
-    /// An account began with an order that wasn't seen here yet.
-    pub fn drop_all(&mut self) {
-        self.counted = Counted::default();
+    /// Discards all counts, since an exposure budget began with an order which this router has not received yet.
+    pub fn discard_all(&mut self) {
+        self.counted = CountsByOrder::default();
     }
 
-    /// A record goes to the store, with all that was counted.
+    /// Records that a record, which includes all counts, is sent to the store.
     pub fn send(&mut self, expected: u64, record: Record) {
-        self.sent.push(Sent { expected, record, counted: self.counted.clone() });
-        self.is_under_way = true;
+        self.sent.push(SentWrite { expected, record, counted: self.counted.clone() });
+        self.is_write_in_flight = true;
     }
 
-    /// The store did nothing of what is under way.
-    pub fn refused(&mut self) {
-        self.is_under_way = false;
+    /// Drops the write in flight, which the store did not execute.
+    pub fn write_refused(&mut self) {
+        self.is_write_in_flight = false;
         self.sent.pop();
     }
 
-    /// What is under way may be done, or may be later.
-    pub fn unknown(&mut self) {
-        self.is_under_way = false;
+    /// Ends the write in flight with an unknown result: it may have been executed, or may still be executed later.
+    pub fn write_unknown(&mut self) {
+        self.is_write_in_flight = false;
     }
 
-    /// What is under way ended, and the record that was sent, if it may still be one's own.
-    pub fn answered(&mut self) -> Option<Record> {
-        self.is_under_way = false;
+    /// Ends the write in flight. Returns the record that was sent, unless it is known by now to be superseded.
+    pub fn write_answered(&mut self) -> Option<Record> {
+        self.is_write_in_flight = false;
         self.sent.last().map(|sent| sent.record.clone())
     }
 
-    /// This is what the store has, at a later revision than before. Whatever was sent and isn't it will never be done.
-    pub fn settle(&mut self, revision: u64, record: &Record) {
-        if let Some(own) = self.sent.iter().find(|sent| sent.record == *record) {
-            self.counted.subtract(&own.counted);
+    /// Reconciles the counts with a record of the store, at a later revision than before. Any other write that was sent
+    /// for an earlier revision will never be executed.
+    pub fn reconcile(&mut self, revision: u64, record: &Record) {
+        if let Some(own_write) = self.sent.iter().find(|sent| sent.record == *record) {
+            self.counted.subtract(&own_write.counted);
             self.sent.clear();
             return;
         }
-        // One's own may have been done and written over since: what it held counts as written then, since fewer requests than
-        // there were allow less, and more would allow too much.
-        let hidden = self.sent.iter().filter(|sent| sent.expected != revision);
-        let mut hidden =
-            hidden.filter(|sent| sent.record.order == record.order && sent.record.requests <= record.requests);
-        if let Some(sent) = hidden.next_back() {
+        // A write of this router may have been executed and then overwritten. Its counts are taken as recorded:
+        // counting fewer requests than there were allows less, whereas counting more would allow too much.
+        let overwritten = self.sent.iter().filter(|sent| sent.expected != revision);
+        let mut overwritten =
+            overwritten.filter(|sent| sent.record.order == record.order && sent.record.requests <= record.requests);
+        if let Some(sent) = overwritten.next_back() {
             self.counted.subtract(&sent.counted);
         }
         self.sent.retain(|sent| sent.expected == revision);
     }
 
-    /// There is no record at all.
-    pub fn forget(&mut self) {
+    /// Drops the sent writes, since the store has no record at all.
+    pub fn clear_sent(&mut self) {
         self.sent.clear();
     }
 }
--- a/crates/stairvale-rollout/src/policy.rs
+++ b/crates/stairvale-rollout/src/policy.rs
@@ -1,40 +1,41 @@
-//! What upstreams of a version may be given, by what the store said.
+//! Which requests upstreams of a version may get, according to the store.
 
 use stairvale_types::id;
 
 use crate::{Order, Record, Stage, record::Cause};
 
-/// What an upstream may be given.
+/// Which requests an upstream may get.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Whatever is best there.
+    /// Any request.
     Any,
-    /// Only what was reserved for it.
+    /// Only requests that were reserved for it.
     Trial,
-    /// What finds no room elsewhere: the fleet leaves it.
+    /// Only requests that no other upstream has room for, since the fleet is leaving this version.
     Last,
-    /// Nothing.
+    /// No requests.
     Nothing,
 }
 
-/// What the versions of a service may be given. Each router follows it by its own copy of the store: a service without any
-/// order gives all versions the same.
+/// Which requests the versions of a service may get. Each router follows it by its own copy of the store. A service
+/// without any order treats all versions alike.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Policy {
     /// The version that was ordered.
     pub target: id::Version,
-    /// Where that stands.
+    /// The stage of the roll-out to that version.
     pub stage: Stage,
-    /// Versions that get nothing.
+    /// Versions that get no requests.
     pub rejected: Vec<id::Version>,
 }
 
 impl Policy {
-    /// What follows from an order, with its revision, and from the record of a roll-out, as the store has them.
+    /// The policy that follows from an order, with its revision, and from the record of a roll-out, as the store has
+    /// them.
     #[must_use]
     pub fn of(order: Option<(u64, &Order)>, record: Option<&Record>) -> Option<Self> {
         let Some(record) = record else {
-            // Nobody has taken it up yet: the version gets nothing, since nothing is reserved.
+            // No home has started the roll-out yet. The version gets nothing, since nothing is reserved.
             let (_, order) = order?;
             return Some(Self { target: order.target.clone(), stage: Stage::Trial, rejected: Vec::new() });
         };
@@ -46,9 +47,9 @@
         if revision <= record.order || order.target == record.target {
             return Some(Self { target: record.target.clone(), stage: record.stage, rejected });
         }
-        // An order that nobody has taken up yet: what was on trial before it is over...
+        // No home has started this order yet, but the trial of the version before it has ended.
         if record.stage != Stage::Completed && record.serving.as_ref() == Some(&order.target) {
-            // ... and so is the roll-out as such, since it is the version that served all the time.
+            // The ordered version has been serving throughout, so the whole roll-out is withdrawn.
             let stage = Stage::RolledBack(Cause::Withdrawn);
             return Some(Self { target: record.target.clone(), stage, rejected });
         }
@@ -59,7 +60,7 @@
         Some(Self { target: order.target.clone(), stage: Stage::Trial, rejected })
     }
 
-    /// What an upstream of a version may be given; one that tells none is taken for an old one.
+    /// Which requests an upstream of a version may get. An upstream that reports no version is treated as an old one.
     #[must_use]
     pub fn admits(&self, version: Option<&id::Version>) -> Admission {
         if version.is_some_and(|version| self.rejected.contains(version)) {
--- a/crates/stairvale-rollout/src/record.rs
+++ b/crates/stairvale-rollout/src/record.rs
@@ -1,25 +1,26 @@
-//! How far a roll-out has come: what the store keeps of it.
+//! The state of a roll-out, as the store keeps it.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use stairvale_types::id;
 
-/// Where a roll-out stands. It only goes down this list; what is completed or rolled back stays so until it is ordered anew.
+/// The stage of a roll-out. It only advances in the order of this list; a roll-out that is completed or rolled back
+/// stays so until there is a new order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Stage {
-    /// The new version gets little, from reservations alone.
+    /// The new version gets a few requests, from reservations only.
     Trial,
-    /// It was found good: new work goes there, and what runs at the old version ends.
+    /// The new version was accepted: new requests go there, and those that run at the old version finish.
     Moving,
     /// Nothing runs at the old version any more, and it may be stopped.
     Completed,
-    /// The new version gets nothing.
+    /// The new version gets no requests.
     RolledBack(Cause),
 }
 
 impl Stage {
-    /// Whether it is over.
+    /// Whether the roll-out has ended.
     #[must_use]
     pub fn is_over(self) -> bool {
         match self {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// How far down the list it is.
+    /// The stage's position in the list.
     fn rank(self) -> u8 {
         match self {
             Self::Trial => 0,
@@ -39,74 +40,74 @@
     }
 }
 
-/// Why a version was rolled back.
+/// The cause of a roll-back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Cause {
-    /// It failed more often than the old one.
+    /// The new version failed more often than the old one.
     Failing,
-    /// It was slow more often than the old one.
+    /// The new version was slow more often than the old one.
     Slow,
-    /// The operator took the order away, or ordered another version.
+    /// The operator withdrew the order, or ordered another version.
     Withdrawn,
-    /// None of its upstreams came in time.
+    /// No upstream of the version became ready in time.
     Missing,
-    /// Too little was seen of it in time to call it good.
+    /// Too few answers of the version were observed in time to accept it.
     Unproven,
 }
 
-/// What became of requests.
+/// Counts of the results of requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Those that were answered, well or badly.
+    /// Requests that were answered, well or badly.
     pub answers: u64,
-    /// Those among them that failed.
+    /// Requests among them that failed.
     pub failed: u64,
-    /// Those among them that were served several times more slowly than they should have been.
+    /// Requests among them that were served several times more slowly than expected.
     pub slow: u64,
 }
 
-/// What became of one route's requests at either version.
+/// Results of one route's requests at either version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// At the version that served before.
+    /// Results at the version that served before.
     pub old: Counts,
-    /// At the version that is on trial.
+    /// Results at the version on trial.
     pub new: Counts,
 }
 
-/// All of a roll-out that must outlive a router. It is changed by compare and swap on its revision in the store, so of two
-/// routers that both take themselves for the home one always learns what the other wrote before it can write itself.
+/// The state of a roll-out that must survive a router. It is changed by compare and swap on its revision in the store,
+/// so of two routers that both act as home, one always learns what the other has written before it can write itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The store's revision of the order that it is about.
+    /// The store's revision of the order that this record is about.
     pub order: u64,
     /// The version that was ordered.
     pub target: id::Version,
-    /// Within this time after the order it is to be over.
+    /// Time after the order within which the roll-out shall end.
     pub over: Duration,
-    /// Where it stands.
+    /// The current stage.
     pub stage: Stage,
-    /// How long ago the order was seen first, when this was written.
+    /// Time from when the order was first received until this record was written.
     pub elapsed: Duration,
-    /// The version that served before, if most of the upstreams told one.
+    /// The version that served before, if most of the upstreams reported one.
     pub serving: Option<id::Version>,
-    /// Versions that get nothing until they are ordered again; the latest last.
+    /// Versions that get no requests until they are ordered again; the latest comes last.
     pub rejected: Vec<id::Version>,
-    /// Requests that the service got since the order, as far as they were counted: never more than there were.
+    /// Requests of the service since the order, as far as they were counted: never more than there were.
     pub requests: u64,
-    /// Requests that were set aside for the new version: never fewer than it got.
+    /// Requests that were granted to the new version: never fewer than it got.
     pub granted: u64,
-    /// What became of requests, by route.
+    /// Results of requests, by route.
     pub routes: BTreeMap<id::Route, Tally>,
-    /// Who wrote this.
+    /// The router that wrote this record.
     pub writer: id::Router,
-    /// And that router's number for the write, by which it knows its own again when the store's answer was lost.
+    /// The writer's number for this write, by which it recognises its own write when the store's answer was lost.
     pub number: u64,
 }
 
 impl Record {
-    /// Of two records of one order, the one that has come further, with all that either counted: neither may be undone by a store
-    /// that was restored with the other.
+    /// Merges two records of one order: the one that has advanced further, with the higher counts of both. Neither may
+    /// be undone by a store that was restored with the other.
     #[must_use]
     pub fn furthest(self, other: Self) -> Self {
         let rank = |record: &Self| (record.stage.rank(), record.granted, record.requests);
--- a/crates/stairvale-rollout/src/start.rs
+++ b/crates/stairvale-rollout/src/start.rs
@@ -1,4 +1,4 @@
-//! The record with which a newly seen order is taken up.
+//! The record that is written for a newly received order.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,22 +6,22 @@
 
 use crate::{Facts, Order, Record, Stage};
 
-/// Rejected versions that are remembered; the upstreams of earlier ones are long gone.
-const MOST_REJECTED: usize = 8;
+/// Maximum number of rejected versions that are kept. The upstreams of earlier ones no longer exist.
+const MAX_REJECTED: usize = 8;
 
-/// What is to stand in the store for an order that is newer than the record there.
-pub fn record(
+/// The record to be written for an order that is newer than the record in the store.
+pub fn record_for_order(
     me: &id::Router,
     order: (u64, &Order),
     elapsed: Duration,
     last: Option<&Record>,
-    facts: &Facts,
+    fleet: &Facts,
     share: f64,
 ) -> Record {
     let (revision, Order { target, over }) = order;
     let Some(last) = last else {
-        let serving = facts.serving.clone().filter(|version| version != target);
-        return fresh(me, order, elapsed, serving, Vec::new());
+        let serving = fleet.serving.clone().filter(|version| version != target);
+        return new_record(me, order, elapsed, serving, Vec::new());
     };
     if last.target == *target {
         let mut record = Record { order: revision, over: *over, elapsed, writer: me.clone(), ..last.clone() };
@@ -30,8 +30,8 @@
             Stage::RolledBack(_) => {
                 record.stage = Stage::Trial;
                 record.routes.clear();
-                // What it got counts on; what it might have got beyond that, of requests of long ago, doesn't.
-                record.requests = record.requests.min(behind(record.granted, share));
+                // Requests that the version got still count, but unused room from requests of long ago doesn't.
+                record.requests = record.requests.min(requests_backing(record.granted, share));
                 record.rejected.retain(|version| version != target);
             }
         }
@@ -39,40 +39,41 @@
     }
     let mut rejected = last.rejected.clone();
     rejected.retain(|version| version != target && *version != last.target);
-    let has_served = last.stage == Stage::Completed;
-    if !has_served {
+    let was_completed = last.stage == Stage::Completed;
+    if !was_completed {
         rejected.push(last.target.clone());
     }
-    let surplus = rejected.len().saturating_sub(MOST_REJECTED);
+    let surplus = rejected.len().saturating_sub(MAX_REJECTED);
     rejected.drain(..surplus);
-    let told = facts.serving.clone().filter(|version| version != target);
-    let serving = if has_served { told.or_else(|| Some(last.target.clone())) } else { last.serving.clone().or(told) };
-    let is_back = !has_served && serving.as_ref() == Some(target);
-    let mut record = fresh(me, order, elapsed, serving, rejected);
-    if is_back {
-        // It served all the time, and what was on trial beside it gets nothing.
+    let reported = fleet.serving.clone().filter(|version| version != target);
+    let serving =
+        if was_completed { reported.or_else(|| Some(last.target.clone())) } else { last.serving.clone().or(reported) };
+    let is_reverted = !was_completed && serving.as_ref() == Some(target);
+    let mut record = new_record(me, order, elapsed, serving, rejected);
+    if is_reverted {
+        // The target has been serving throughout, and the version on trial beside it gets nothing.
         record.stage = Stage::Completed;
     }
     record
 }
 
-/// Whether a record that follows another one is of a trial that begins anew: what was seen before isn't its own.
-pub fn is_anew(last: &Record, record: &Record) -> bool {
+/// Whether `record`, which follows `last`, starts a new trial, so that earlier observations don't belong to it.
+pub fn starts_new_trial(last: &Record, record: &Record) -> bool {
     last.target != record.target || last.order != record.order && last.stage.is_over()
 }
 
-/// The requests of a service of which so many are the share that a version may get.
+/// The number of the service's requests of which `granted` is the share that a version may get.
 #[expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a number from 0, cut to what fits"
+    reason = "not negative, and the cast saturates"
 )]
-fn behind(granted: u64, share: f64) -> u64 {
+fn requests_backing(granted: u64, share: f64) -> u64 {
     (granted as f64 / share).ceil().max(0.0) as u64
 }
 
-fn fresh(
+fn new_record(
     me: &id::Router,
     (revision, order): (u64, &Order),
     elapsed: Duration,
--- a/crates/stairvale-rollout/src/step.rs
+++ b/crates/stairvale-rollout/src/step.rs
@@ -1,4 +1,4 @@
-//! What passes between a steward and the shell that drives it.
+//! The inputs and outputs of a roll-out controller, which are exchanged with the code that runs it.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,112 +10,113 @@
     record::{Cause, Stage, Tally},
 };
 
-/// What must hold.
+/// The limits that a roll-out must keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The share of a service's requests since an order that a version which turns out bad may get...
+    /// The share of a service's requests since an order that a version may get if it turns out to be failing.
     pub share: f64,
-    /// ... and the requests beyond that.
+    /// Number of requests that such a version may get beyond that share.
     pub slack: f64,
-    /// Nothing is sent to a bad version later than this after its 50th bad answer.
+    /// Maximum time from a failing version's 50th bad answer until nothing is sent to it any more.
     pub rollback: Duration,
 }
 
-/// What the home sees of a service's upstreams.
+/// The state of a service's upstreams, as its home observes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts {
-    /// Upstreams of the ordered version that could be given work.
+    /// Number of upstreams of the ordered version that can take requests.
     pub ready_new: usize,
-    /// Others that could be.
+    /// Number of other upstreams that can take requests.
     pub ready_old: usize,
-    /// Requests that run at the ordered version.
+    /// Number of requests running at the ordered version.
     pub running_new: u32,
-    /// Requests that run elsewhere.
+    /// Number of requests running at other versions.
     pub running_old: u32,
-    /// The version that most of the others tell.
+    /// The version that most of the other upstreams report.
     pub serving: Option<id::Version>,
 }
 
-/// What the pool saw since it was asked last.
+/// What the pool has observed since its last report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests that asked for an upstream for the first time.
+    /// Number of new requests, each counted when it first needed an upstream.
     pub requests: u64,
-    /// Requests that ended.
+    /// Results of requests that ended.
     pub observations: Vec<Observation>,
 }
 
 /// Requests that a home may give to the version on trial.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reservation {
-    /// How many.
+    /// Number of reserved requests.
     pub requests: u32,
-    /// Until when: what isn't given by then is lost.
+    /// When the reservation expires. Requests that were not given out by then are lost.
     pub until: Moment,
-    /// Over how many upstreams, so that each of them carries what an old one does: what shows under load alone is to show.
+    /// Number of upstreams among which the requests are distributed. It is chosen so that each carries the load of an
+    /// old upstream and faults that occur only under load show.
     pub over: usize,
-    /// Whether requests that may run only once are tried, too.
+    /// Whether requests that may run only once are included.
     pub unrepeatable: bool,
 }
 
-/// A change of the record, if it is still at the revision that this was worked out from.
+/// A change of the record, on the condition that it is still at the revision from which the change was computed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// The service.
+    /// The service that the record belongs to.
     pub service: id::Service,
     /// The record's revision in the store; 0 if there is none yet.
     pub expected: u64,
-    /// What is to stand there. The operator is told its stage in the same transaction.
+    /// The new record. The same transaction publishes its stage to the operator.
     pub record: Record,
 }
 
-/// What became of a [`Write`].
+/// The result of a [`Write`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Written {
-    /// It stands, at this revision of the store.
+    /// The record was written, at this revision of the store.
     Done(u64),
-    /// The record was at another revision: this is what stands there, if anything does.
+    /// The record was at another revision. This is the record in the store, if there is one.
     Conflict(Option<(u64, Record)>),
-    /// The store did nothing.
+    /// The store did not execute the write.
     Refused,
-    /// It may have been done, or may be later.
+    /// The write may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// What a steward wants done.
+/// An action that a roll-out controller requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Write this; tell the steward by [`Steward::written`](crate::Steward::written).
+    /// Perform this write, and pass its result back to the controller.
     Write(Write),
-    /// The pool may give this to the version on trial, in place of what is left of the last one.
+    /// Let the pool give this to the version on trial, in place of what is left of the previous reservation.
     Reserve(Reservation),
-    /// The pool is to follow this: it goes before what the copy of the store says.
+    /// Let the pool follow this policy, which takes precedence over the router's copy of the store.
     Follow(Policy),
-    /// Something that operators are told.
+    /// Report this to operators.
     Say(Event),
 }
 
-/// A roll-out has reached a stage, or its version was found bad: one line of the log, with the figures that decided it.
+/// A roll-out has reached a stage, or its version was rejected: one log line, with the figures behind the decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// The service.
+    /// The service that is rolled out.
     pub service: id::Service,
     /// The store's revision of the order.
     pub order: u64,
     /// The version that was ordered.
     pub target: id::Version,
-    /// The stage.
+    /// The stage that was reached.
     pub stage: Stage,
-    /// Whether it stands in the store; a version that was found bad gets nothing before that.
+    /// Whether the stage is written to the store. A rejected version gets no requests even before that.
     pub stands: bool,
-    /// The route that showed it, and how, if this router found the version bad itself.
+    /// The route that showed the fault, and the cause, if this router rejected the version itself.
     pub found: Option<(id::Route, Cause)>,
     /// Time since the order.
     pub elapsed: Duration,
-    /// Requests that the service got since the order, as far as they were counted.
+    /// Requests of the service since the order, as far as they were counted.
     pub requests: u64,
-    /// Requests that were set aside for the version.
+    /// Requests that were granted to the version.
     pub granted: u64,
-    /// What became of requests, by route.
+    /// Results of requests, by route.
     pub routes: BTreeMap<id::Route, Tally>,
 }
--- a/crates/stairvale-rollout/src/steward.rs
+++ b/crates/stairvale-rollout/src/steward.rs
@@ -1,5 +1,5 @@
-//! A service's home as the one who carries a roll-out on: what it reserves, when it calls the version good or bad, and what
-//! it writes.
+//! The roll-out controller of a service, which runs at the service's home: it reserves requests for the new version,
+//! accepts or rejects the version, and writes the record.
 
 mod tell;
 
@@ -8,87 +8,93 @@
 use stairvale_types::{Moment, Revision, id};
 
 use crate::{
-    Account, Bounds, Facts, Judge, Order, Policy, Record, Report, Stage, Step, Write, Written,
-    clock::Clock,
-    holding::Holding,
+    Bounds, ExposureBudget, Facts, Judge, Order, Policy, Record, Report, Stage, Step, Write, Written,
+    clock::OrderClock,
+    holding::ConditionTimer,
     outbox::{self, Outbox},
     record::{Cause, Tally},
     start,
-    trial::{Next, Plan, Trial, View},
+    trial::{Action, Plan, Progress, Trial},
 };
 
-/// What was reserved and not given by then is lost: another home may have found the version bad meanwhile. In the users' terms
-/// nothing may go to a bad version some seconds after it was seen to be bad.
-const VALID: Duration = Duration::from_secs(2);
-/// After a write that failed the next one waits so long, and twice as long each time, up to a most.
-const RETRY: Duration = Duration::from_millis(250);
-/// Calls have a price, and a store that is in trouble isn't helped by more of them.
-const RETRY_MOST: Duration = Duration::from_secs(1);
-/// Nothing runs at the old version for so long before it may be stopped: an entry may just be sending.
-const QUIET: Duration = Duration::from_millis(300);
-/// After the fleet was told to move, entries may still send by older copies for about so long.
-const SPREADING: Duration = Duration::from_millis(500);
-/// What stays of the time allowed when a roll-out is ended in any case: the store may take that long.
-const LAST: Duration = Duration::from_millis(800);
-/// A fleet that was told to move late gets so long all the same.
-const LEAST_MOVING: Duration = Duration::from_secs(1);
-/// What was counted is written with the next reservation, or after so long: a home may die, and the bound grows by requests
-/// that stand in the record.
-const KEEP: Duration = Duration::from_secs(1);
-/// The same where much was seen of the version.
-const KEEP_MUCH: Duration = Duration::from_millis(500);
-/// Without any old upstream for so long, and before anything was tried, the ordered version is the one that serves.
-const ONLY: Duration = Duration::from_secs(1);
-
-/// A reservation whose write is under way.
+/// Validity of a reservation. Requests that have not been issued by then are lost, because another home may have
+/// rejected the version in the meantime. For users this bounds how long a rejected version still receives requests: a
+/// few seconds after its failure was detected.
+const RESERVATION_TTL: Duration = Duration::from_secs(2);
+/// Delay before the next write after a failed one. It doubles with each failure, up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Upper limit of the retry delay. Store calls have a cost, and more of them do not help a store that is failing.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How long no request may run at the old version before it may be stopped: an entry router may just be sending one.
+const OLD_VERSION_IDLE_PERIOD: Duration = Duration::from_millis(300);
+/// Time after the switch to the new version during which entry routers may still send requests by an older copy of the
+/// record.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(500);
+/// Time reserved before the deadline for the write that ends a roll-out in any case: the store may take that long.
+const FINAL_WRITE_MARGIN: Duration = Duration::from_millis(800);
+/// Minimum time that the fleet gets to move, also when it started to move late.
+const MIN_MOVING_TIME: Duration = Duration::from_secs(1);
+/// Interval after which counts are written even without a new reservation: the home may die, and the exposure bound
+/// grows only by requests that are in the record.
+const PERSIST_INTERVAL: Duration = Duration::from_secs(1);
+/// The same interval when there are many answers, or some bad ones, of the new version.
+const URGENT_PERSIST_INTERVAL: Duration = Duration::from_millis(500);
+/// How long there must be no old upstream, before anything was tried, until the ordered version is taken as the one
+/// that serves.
+const SOLE_VERSION_PERIOD: Duration = Duration::from_secs(1);
+
+/// A reservation, from its planning until it is issued to the pool.
 #[derive(Clone, Copy, Debug)]
-struct Reserving {
+struct PendingReservation {
     order: u64,
     plan: Plan,
     until: Moment,
 }
 
-/// Carries the roll-outs of one service on, while its router is the service's home.
+/// The roll-out controller of one service. It carries the service's roll-outs on while its router is the service's
+/// home.
 #[derive(Debug)]
 pub struct Steward {
     me: id::Router,
     service: id::Service,
     bounds: Bounds,
-    /// The newest order of the copy, with its revision.
+    /// The newest order in this router's copy of the store, with its revision.
     order: Option<(u64, Order)>,
-    /// The record as the copy has it, and as it is known at its newest.
-    copy: Option<(u64, Record)>,
+    /// The record in this router's copy of the store, with its revision. `record` is the newest one known from any
+    /// source.
+    cached_record: Option<(u64, Record)>,
     record: Option<(u64, Record)>,
-    /// Whether the store may hold the record as it was earlier, or not at all: it was restored from a copy.
-    is_unwritten: bool,
-    clock: Clock,
-    /// When the fleet was known to move.
+    /// Whether the store may hold an earlier version of the record, or none at all, because it was restored from a
+    /// backup.
+    needs_rewrite: bool,
+    clock: OrderClock,
+    /// When this router observed that the fleet has started to move.
     moving_since: Option<Moment>,
     judge: Option<Judge>,
-    /// The order whose version was found bad, how, and where, if this router found it.
-    condemned: Option<(u64, Cause, Option<id::Route>)>,
+    /// The order whose version was rejected, with the cause, and with the route if this router rejected it itself.
+    verdict: Option<(u64, Cause, Option<id::Route>)>,
     trial: Trial,
     outbox: Outbox,
     number: u64,
-    /// When something was sent to the store last.
-    wrote: Moment,
+    /// When the last write was sent to the store.
+    last_write_at: Moment,
     not_before: Moment,
-    failures: u32,
-    reserving: Option<Reserving>,
-    /// A reservation that stands and is to be given out.
-    granted: Option<Reserving>,
-    /// Until when the pool may have something left of a reservation, and for which order.
-    given: Option<(u64, Moment)>,
-    /// What the pool was told to follow, until the copy changes.
-    followed: Option<Policy>,
-    has_copy_changed: bool,
-    said: Option<(u64, Stage, bool)>,
-    quiet: Holding,
-    alone: Holding,
+    failed_writes: u32,
+    pending_reservation: Option<PendingReservation>,
+    /// A reservation that has been written to the store and is to be issued to the pool.
+    committed: Option<PendingReservation>,
+    /// The order of the last issued reservation, and the time until which the pool may have requests left of it.
+    issued: Option<(u64, Moment)>,
+    /// The policy last sent to the pool in place of the one that follows from this router's copy of the store.
+    policy_override: Option<Policy>,
+    has_cache_changed: bool,
+    last_logged: Option<(u64, Stage, bool)>,
+    old_version_idle: ConditionTimer,
+    only_new_version: ConditionTimer,
 }
 
 impl Steward {
-    /// The steward of a service at a router.
+    /// Creates the controller of a service's roll-outs at a router.
     #[must_use]
     pub fn new(me: id::Router, service: id::Service, bounds: Bounds) -> Self {
         Self {
@@ -96,39 +102,39 @@
             service,
             bounds,
             order: None,
-            copy: None,
+            cached_record: None,
             record: None,
-            is_unwritten: false,
-            clock: Clock::default(),
+            needs_rewrite: false,
+            clock: OrderClock::default(),
             moving_since: None,
             judge: None,
-            condemned: None,
+            verdict: None,
             trial: Trial::default(),
             outbox: Outbox::default(),
             number: 0,
-            wrote: Moment::ZERO,
+            last_write_at: Moment::ZERO,
             not_before: Moment::ZERO,
-            failures: 0,
-            reserving: None,
-            granted: None,
-            given: None,
-            followed: None,
-            has_copy_changed: false,
-            said: None,
-            quiet: Holding::default(),
-            alone: Holding::default(),
+            failed_writes: 0,
+            pending_reservation: None,
+            committed: None,
+            issued: None,
+            policy_override: None,
+            has_cache_changed: false,
+            last_logged: None,
+            old_version_idle: ConditionTimer::default(),
+            only_new_version: ConditionTimer::default(),
         }
     }
 
     // ----------------------------------------------------------------------------------------------------------------
-    // What is told
+    // Inputs
 
-    /// Takes what this router's copy of the store says, with revisions. It is told at every router, so that time is counted
-    /// from the order also where a home takes over.
+    /// Updates the order and the record from this router's copy of the store, each with its revision. It is called at
+    /// every router, so that a router that takes over as home also measures time from the order.
     pub fn learn(&mut self, now: Moment, order: Option<(u64, &Order)>, record: Option<(u64, &Record)>) {
-        self.has_copy_changed = true;
+        self.has_cache_changed = true;
         if let Some((revision, record)) = record {
-            self.copy = Some((revision, record.clone()));
+            self.cached_record = Some((revision, record.clone()));
             self.adopt(now, revision, record);
         }
         let Some((revision, order)) = order else {
@@ -138,20 +144,21 @@
         let is_new = self.order.as_ref().is_none_or(|(known, _)| *known < revision);
         self.order = Some((revision, order.clone()));
         if is_new {
-            self.clock.note(now, revision, Duration::ZERO);
-            self.outbox.mark();
+            self.clock.observe_age(now, revision, Duration::ZERO);
+            self.outbox.start_order();
         }
     }
 
-    /// Takes what the pool saw.
+    /// Takes a report of the pool on the requests that it observed.
     pub fn observe(&mut self, now: Moment, report: Report) {
         self.trial.count(now, report.requests);
-        if !self.is_open() {
+        if !self.is_collecting() {
             return;
         }
         self.outbox.count(report.requests);
-        let judge = self.judge.get_or_insert_with(|| Judge::resumed(now, &routes_of(self.record.as_ref())));
-        // What the old version did in the same moment goes first: trouble of both is to be known as such.
+        let judge = self.judge.get_or_insert_with(|| Judge::resume(now, &routes_of(self.record.as_ref())));
+        // The old version's answers go first, so that a fault that affects both versions at the same moment is
+        // recognised as such.
         let (new, old): (Vec<_>, Vec<_>) = report.observations.into_iter().partition(|observation| observation.is_new);
         for observation in old.iter().chain(&new) {
             judge.observe(now, observation);
@@ -159,169 +166,172 @@
         }
     }
 
-    /// What became of a write.
+    /// Takes the result of a write.
     pub fn written(&mut self, now: Moment, written: Written) {
-        if !self.outbox.is_under_way() {
+        if !self.outbox.is_write_in_flight() {
             return;
         }
-        let own = self.outbox.answered();
-        let reserving = self.reserving.take();
+        let own = self.outbox.write_answered();
+        let pending_reservation = self.pending_reservation.take();
         match written {
             Written::Done(revision) => {
-                self.failures = 0;
-                self.granted = reserving;
+                self.failed_writes = 0;
+                self.committed = pending_reservation;
                 if let Some(own) = own {
                     self.adopt(now, revision, &own);
                 }
             }
-            // Also one's own may stand there, when it was handed on and done twice. Nothing is given then: an earlier life of this
-            // router might have written the very same, and given it.
+            // The record in the store may be this router's own, if the write was forwarded and executed twice. No
+            // reservation is issued then: an earlier incarnation of this router might have written the same record and
+            // issued it.
             Written::Conflict(Some((revision, record))) => {
                 let known = self.record.as_ref().map(|(revision, _)| *revision);
                 self.adopt(now, revision, &record);
                 if known == self.record.as_ref().map(|(revision, _)| *revision) {
-                    // A store that shows less than it did: nothing is learned by asking it again at once.
-                    self.put_off(now);
+                    // The store returned an older record than before, so an immediate retry would give nothing new.
+                    self.back_off(now);
                 } else {
-                    self.failures = 0;
+                    self.failed_writes = 0;
                 }
             }
             Written::Conflict(None) => {
-                self.outbox.forget();
-                // It was taken out of the store. What was set aside stays so: it is written anew.
+                self.outbox.clear_sent();
+                // The record was deleted from the store. The granted requests remain granted, so the record is written
+                // anew.
                 if let Some((revision, _)) = &mut self.record {
                     *revision = 0;
                 }
-                self.put_off(now);
+                self.back_off(now);
             }
             Written::Refused => {
-                self.outbox.refused();
-                self.put_off(now);
+                self.outbox.write_refused();
+                self.back_off(now);
             }
             Written::Unknown => {
-                self.outbox.unknown();
-                self.put_off(now);
+                self.outbox.write_unknown();
+                self.back_off(now);
             }
         }
     }
 
-    /// This router isn't the home: nothing that was reserved counts any longer.
+    /// Drops all reservations, since this router is not the service's home.
     pub fn rest(&mut self) {
-        self.reserving = None;
-        self.granted = None;
-        self.given = None;
-        self.followed = None;
-        self.quiet = Holding::default();
-        self.alone = Holding::default();
+        self.pending_reservation = None;
+        self.committed = None;
+        self.issued = None;
+        self.policy_override = None;
+        self.old_version_idle = ConditionTimer::default();
+        self.only_new_version = ConditionTimer::default();
         self.trial.restart();
     }
 
-    /// The revision of the order whose version this router, or one that told it, found bad last.
+    /// The revision of the last order whose version was rejected, by this router or by a peer that notified it.
     #[must_use]
     pub fn condemns(&self) -> Option<u64> {
-        self.condemned.map(|(order, ..)| order)
+        self.verdict.map(|(order, ..)| order)
     }
 
-    /// A peer found the version bad that an order of this revision names.
+    /// Records that a peer has rejected the version of the order with this revision.
     pub fn condemned(&mut self, order: u64) {
-        if self.condemned.is_none_or(|(known, ..)| known < order) {
-            self.condemned = Some((order, Cause::Failing, None));
+        if self.verdict.is_none_or(|(known, ..)| known < order) {
+            self.verdict = Some((order, Cause::Failing, None));
         }
     }
 
     // ----------------------------------------------------------------------------------------------------------------
-    // What is wanted
+    // Decisions
 
-    /// Lets time pass at the service's home, some twenty times a second.
-    pub fn tick(&mut self, now: Moment, facts: &Facts) -> Vec<Step> {
+    /// Advances the roll-out at the service's home; it is called about 20 times a second.
+    pub fn tick(&mut self, now: Moment, fleet: &Facts) -> Vec<Step> {
         let mut steps = Vec::new();
-        self.quiet.note(now, facts.running_old == 0);
-        self.alone.note(now, facts.ready_old == 0 && facts.running_old == 0 && facts.ready_new > 0);
+        self.old_version_idle.update(now, fleet.running_old == 0);
+        self.only_new_version.update(now, fleet.ready_old == 0 && fleet.running_old == 0 && fleet.ready_new > 0);
         if let Some(judge) = &mut self.judge {
-            judge.settle(now);
+            judge.weigh_due(now);
         }
-        self.convict(now);
-        self.say(now, &mut steps);
-        self.follow(&mut steps);
-        self.hand_out(now, &mut steps);
-        if !self.outbox.is_under_way()
+        self.evaluate_verdict(now);
+        self.log_transition(now, &mut steps);
+        self.update_policy(&mut steps);
+        self.issue_reservation(now, &mut steps);
+        if !self.outbox.is_write_in_flight()
             && now >= self.not_before
-            && let Some((record, plan)) = self.next(now, facts)
+            && let Some((record, plan)) = self.next_record(now, fleet)
         {
             steps.push(self.write(now, record, plan));
         }
         steps
     }
 
-    /// Whether what is seen belongs to a roll-out that goes on, or is about to begin.
-    fn is_open(&self) -> bool {
-        self.unseen_order().is_some() || self.record.as_ref().is_some_and(|(_, record)| !record.stage.is_over())
+    /// Whether observations belong to a roll-out that is running or about to begin.
+    fn is_collecting(&self) -> bool {
+        self.pending_order().is_some() || self.record.as_ref().is_some_and(|(_, record)| !record.stage.is_over())
     }
 
-    /// The order that no record is about yet.
-    fn unseen_order(&self) -> Option<(u64, &Order)> {
+    /// The newest order, if it is newer than the record.
+    fn pending_order(&self) -> Option<(u64, &Order)> {
         let (revision, order) = self.order.as_ref()?;
-        let is_taken_up = self.record.as_ref().is_some_and(|(_, record)| record.order >= *revision);
-        (!is_taken_up).then_some((*revision, order))
+        let is_recorded = self.record.as_ref().is_some_and(|(_, record)| record.order >= *revision);
+        (!is_recorded).then_some((*revision, order))
     }
 
-    /// Whether the operator took the order away that the record is about. A copy that is older than the record doesn't say so.
+    /// Whether the operator has withdrawn the record's order. A copy that is older than the record does not show that.
     fn is_withdrawn(&self, record: &Record) -> bool {
-        self.order.is_none() && self.copy.as_ref().is_some_and(|(_, copy)| copy.order == record.order)
+        self.order.is_none() && self.cached_record.as_ref().is_some_and(|(_, cached)| cached.order == record.order)
     }
 
-    /// The stage, and whether this router has found the version bad since.
-    fn is_condemned(&self, order: u64) -> Option<Cause> {
-        self.condemned.filter(|(condemned, ..)| *condemned == order).map(|(_, cause, _)| cause)
+    /// The cause for which the version of an order was rejected, if it was.
+    fn rejection_cause(&self, order: u64) -> Option<Cause> {
+        self.verdict.filter(|(rejected, ..)| *rejected == order).map(|(_, cause, _)| cause)
     }
 
-    /// The order that is in force here: of the record, or one that nobody has taken up.
-    fn current(&self) -> Option<u64> {
-        self.unseen_order()
+    /// The revision of the order in force at this router: the newest order that is not in a record yet, or else the
+    /// record's.
+    fn current_order(&self) -> Option<u64> {
+        self.pending_order()
             .map(|(revision, _)| revision)
             .or_else(|| self.record.as_ref().map(|(_, record)| record.order))
     }
 
-    fn convict(&mut self, now: Moment) {
+    fn evaluate_verdict(&mut self, now: Moment) {
         let Some((_, record)) = &self.record else { return };
         let order = record.order;
-        if record.stage.is_over() || self.unseen_order().is_some() || self.is_condemned(order).is_some() {
+        if record.stage.is_over() || self.pending_order().is_some() || self.rejection_cause(order).is_some() {
             return;
         }
         if let Some((route, cause)) = self.judge.as_ref().and_then(|judge| judge.verdict(now)) {
-            self.condemned = Some((order, cause, Some(route)));
+            self.verdict = Some((order, cause, Some(route)));
         }
     }
 
-    /// The order whose version may get what is reserved.
-    fn on_trial(&self) -> Option<u64> {
+    /// The revision of the order whose version may receive reserved requests.
+    fn trial_order(&self) -> Option<u64> {
         let (_, record) = self.record.as_ref()?;
-        let is_in_force = self.unseen_order().is_none() && !self.is_withdrawn(record);
-        let is_on_trial = record.stage == Stage::Trial && self.is_condemned(record.order).is_none();
+        let is_in_force = self.pending_order().is_none() && !self.is_withdrawn(record);
+        let is_on_trial = record.stage == Stage::Trial && self.rejection_cause(record.order).is_none();
         (is_in_force && is_on_trial).then_some(record.order)
     }
 
-    /// What is to stand in the store next, and the reservation in it.
-    fn next(&mut self, now: Moment, facts: &Facts) -> Option<(Record, Option<Plan>)> {
+    /// The record to be written next, with the reservation that it contains.
+    fn next_record(&mut self, now: Moment, fleet: &Facts) -> Option<(Record, Option<Plan>)> {
         let elapsed = self.clock.age(now);
-        if let Some(order) = self.unseen_order() {
+        if let Some(order) = self.pending_order() {
             let last = self.record.as_ref().map(|(_, record)| record);
-            let mut record = start::record(&self.me, order, elapsed, last, facts, self.bounds.share);
-            let is_anew = last.is_none_or(|last| start::is_anew(last, &record));
-            if let (false, Some(cause)) = (record.stage.is_over(), self.is_condemned(record.order)) {
+            let mut record = start::record_for_order(&self.me, order, elapsed, last, fleet, self.bounds.share);
+            let starts_new_trial = last.is_none_or(|last| start::starts_new_trial(last, &record));
+            if let (false, Some(cause)) = (record.stage.is_over(), self.rejection_cause(record.order)) {
                 record.stage = Stage::RolledBack(cause);
             }
-            if is_anew {
-                self.outbox.drop_earlier();
+            if starts_new_trial {
+                self.outbox.discard_before_order();
             }
             return Some((record, None));
         }
         let (_, record) = self.record.as_ref()?;
         let mut record = record.clone();
         if record.stage.is_over() {
-            return self.is_unwritten.then_some((record, None));
+            return self.needs_rewrite.then_some((record, None));
         }
-        if let Some(cause) = self.is_condemned(record.order) {
+        if let Some(cause) = self.rejection_cause(record.order) {
             record.stage = Stage::RolledBack(cause);
             return Some((record, None));
         }
@@ -330,130 +340,135 @@
             return Some((record, None));
         }
         match record.stage {
-            Stage::Trial => self.next_of_trial(now, record, facts),
+            Stage::Trial => self.next_trial_record(now, record, fleet),
             Stage::Moving => {
-                record.stage = self.end_of_moving(now, &record, facts)?;
+                record.stage = self.stage_after_moving(now, &record, fleet)?;
                 Some((record, None))
             }
             Stage::Completed | Stage::RolledBack(_) => None,
         }
     }
 
-    fn next_of_trial(&mut self, now: Moment, mut record: Record, facts: &Facts) -> Option<(Record, Option<Plan>)> {
-        if record.granted == 0 && record.serving.is_none() && self.alone.is_for(now, Duration::ZERO) {
-            if !self.alone.is_for(now, ONLY) {
+    fn next_trial_record(&mut self, now: Moment, mut record: Record, fleet: &Facts) -> Option<(Record, Option<Plan>)> {
+        if record.granted == 0 && record.serving.is_none() && self.only_new_version.has_held_for(now, Duration::ZERO) {
+            if !self.only_new_version.has_held_for(now, SOLE_VERSION_PERIOD) {
                 return None;
             }
             record.stage = Stage::Completed;
             return Some((record, None));
         }
-        let counted = self.outbox.counted();
+        let unrecorded = self.outbox.unrecorded();
         let mut routes = record.routes.clone();
-        outbox::add(&mut routes, &counted.routes);
-        let view = View {
+        outbox::add(&mut routes, &unrecorded.routes);
+        let progress = Progress {
             elapsed: self.clock.age(now),
-            over: record.over,
-            account: Account { requests: record.requests + counted.requests, granted: record.granted },
+            deadline: record.over,
+            budget: ExposureBudget { requests: record.requests + unrecorded.requests, granted: record.granted },
             routes: &routes,
-            facts,
-            suspects: self.judge.as_ref().is_some_and(Judge::suspects),
-            doubts: self.judge.as_ref().is_some_and(Judge::doubts),
+            fleet,
+            is_suspected: self.judge.as_ref().is_some_and(Judge::is_suspected),
+            is_suspected_without_worst: self.judge.as_ref().is_some_and(Judge::is_suspected_without_worst),
         };
-        match self.trial.next(now, &self.bounds, &view) {
-            Next::Wait => {
-                let keep = if self.outbox.is_much() { KEEP_MUCH } else { KEEP };
-                (counted.requests > 0 && now >= self.wrote + keep).then_some((record, None))
+        match self.trial.next_action(now, &self.bounds, &progress) {
+            Action::Wait => {
+                let interval =
+                    if self.outbox.has_urgent_evidence() { URGENT_PERSIST_INTERVAL } else { PERSIST_INTERVAL };
+                (unrecorded.requests > 0 && now >= self.last_write_at + interval).then_some((record, None))
             }
-            Next::Reserve(plan) => {
+            Action::Reserve(plan) => {
                 record.granted += u64::from(plan.requests);
-                self.trial.sent(now, plan, facts);
+                self.trial.reservation_sent(now, plan, fleet);
                 Some((record, Some(plan)))
             }
-            Next::Move => {
+            Action::Move => {
                 record.stage = Stage::Moving;
                 Some((record, None))
             }
-            Next::Unproven => {
+            Action::Unproven => {
                 record.stage = Stage::RolledBack(Cause::Unproven);
                 Some((record, None))
             }
-            Next::Missing => {
+            Action::Missing => {
                 record.stage = Stage::RolledBack(Cause::Missing);
                 Some((record, None))
             }
         }
     }
 
-    /// The stage that follows once the fleet has moved, or has had the time for it.
-    fn end_of_moving(&self, now: Moment, record: &Record, facts: &Facts) -> Option<Stage> {
-        let has_spread = self.moving_since.is_some_and(|since| now.since(since) >= SPREADING);
-        let last = record.over.saturating_sub(LAST.min(record.over / 4)).max(record.elapsed + LEAST_MOVING);
-        let is_last = self.clock.age(now) >= last;
-        if facts.ready_new == 0 {
-            return is_last.then_some(Stage::RolledBack(Cause::Missing));
+    /// The stage that follows once the fleet has moved, or once the time for it has run out.
+    fn stage_after_moving(&self, now: Moment, record: &Record, fleet: &Facts) -> Option<Stage> {
+        let has_propagated = self.moving_since.is_some_and(|since| now.since(since) >= PROPAGATION_DELAY);
+        let latest_end =
+            record.over.saturating_sub(FINAL_WRITE_MARGIN.min(record.over / 4)).max(record.elapsed + MIN_MOVING_TIME);
+        let is_time_up = self.clock.age(now) >= latest_end;
+        if fleet.ready_new == 0 {
+            return is_time_up.then_some(Stage::RolledBack(Cause::Missing));
         }
-        let is_doubted = self.judge.as_ref().is_some_and(Judge::doubts);
-        let is_quiet = self.quiet.is_for(now, QUIET) && !is_doubted;
-        (has_spread && (is_quiet || is_last)).then_some(Stage::Completed)
+        let is_suspected = self.judge.as_ref().is_some_and(Judge::is_suspected_without_worst);
+        let is_idle = self.old_version_idle.has_held_for(now, OLD_VERSION_IDLE_PERIOD) && !is_suspected;
+        (has_propagated && (is_idle || is_time_up)).then_some(Stage::Completed)
     }
 
     fn write(&mut self, now: Moment, mut record: Record, plan: Option<Plan>) -> Step {
-        self.outbox.counted().add_to(&mut record);
+        self.outbox.unrecorded().add_to(&mut record);
         record.elapsed = self.clock.age(now);
         self.number = self.number.max(record.number) + 1;
         record.number = self.number;
         record.writer = self.me.clone();
         let expected = self.record.as_ref().map_or(0, |(revision, _)| *revision);
-        self.reserving = plan.map(|plan| Reserving { order: record.order, plan, until: now + VALID });
-        self.wrote = now;
+        self.pending_reservation =
+            plan.map(|plan| PendingReservation { order: record.order, plan, until: now + RESERVATION_TTL });
+        self.last_write_at = now;
         self.outbox.send(expected, record.clone());
         Step::Write(Write { service: self.service.clone(), expected, record })
     }
 
     // ----------------------------------------------------------------------------------------------------------------
-    // What is known
+    // State
 
-    /// Takes a record that the store has, unless a newer one is known.
+    /// Takes over a record of the store, unless a newer one is known.
     fn adopt(&mut self, now: Moment, revision: u64, record: &Record) {
         if self.record.as_ref().is_some_and(|(known, _)| *known >= revision) {
             return;
         }
         let epoch_of = |revision: u64| Revision::from(revision).epoch();
-        self.is_unwritten = self.record.as_ref().is_some_and(|(known, _)| epoch_of(*known) < epoch_of(revision));
-        self.outbox.settle(revision, record);
-        self.clock.note(now, record.order, record.elapsed);
+        self.needs_rewrite = self.record.as_ref().is_some_and(|(known, _)| epoch_of(*known) < epoch_of(revision));
+        self.outbox.reconcile(revision, record);
+        self.clock.observe_age(now, record.order, record.elapsed);
         let last = self.record.replace((revision, record.clone()));
-        if last.as_ref().is_none_or(|(_, last)| start::is_anew(last, record)) {
+        if last.as_ref().is_none_or(|(_, last)| start::starts_new_trial(last, record)) {
             self.judge = None;
             self.trial.restart();
         }
-        // Of a later order that another router took up it isn't known whether its account goes on: there may have been a
-        // record of another version between. Fewer requests than there were allow less.
-        let goes_on = last.as_ref().is_some_and(|(_, last)| {
-            last.order == record.order || record.writer == self.me && !start::is_anew(last, record)
+        // When another router has started a later order, it isn't known whether that order continues the same exposure
+        // budget: a record of another version may have come between. Counting fewer requests than there were is safe,
+        // since it allows less.
+        let continues_budget = last.as_ref().is_some_and(|(_, last)| {
+            last.order == record.order || record.writer == self.me && !start::starts_new_trial(last, record)
         });
-        if !goes_on {
-            self.begin_account(record.order);
+        if !continues_budget {
+            self.discard_previous_budget(record.order);
         }
-        let was = last.map(|(_, last)| (last.order, last.stage));
-        if was == Some((record.order, record.stage)) {
+        let previous = last.map(|(_, last)| (last.order, last.stage));
+        if previous == Some((record.order, record.stage)) {
             return;
         }
         self.moving_since = (record.stage == Stage::Moving).then_some(now);
     }
 
-    /// Another account begins, with an order of this revision: what was counted before isn't its own.
-    fn begin_account(&mut self, order: u64) {
+    /// Discards the counts that belong to an earlier exposure budget, when a new one begins with the order of this
+    /// revision.
+    fn discard_previous_budget(&mut self, order: u64) {
         if self.order.as_ref().is_some_and(|(seen, _)| *seen >= order) {
-            self.outbox.drop_earlier();
+            self.outbox.discard_before_order();
         } else {
-            self.outbox.drop_all();
+            self.outbox.discard_all();
         }
     }
 
-    fn put_off(&mut self, now: Moment) {
-        let wait = (RETRY * 2_u32.saturating_pow(self.failures)).min(RETRY_MOST);
-        self.failures = (self.failures + 1).min(4);
+    fn back_off(&mut self, now: Moment) {
+        let wait = (RETRY_DELAY * 2_u32.saturating_pow(self.failed_writes)).min(MAX_RETRY_DELAY);
+        self.failed_writes = (self.failed_writes + 1).min(4);
         self.not_before = now + wait;
     }
 }
--- a/crates/stairvale-rollout/src/steward/tell.rs
+++ b/crates/stairvale-rollout/src/steward/tell.rs
@@ -1,4 +1,4 @@
-//! What a steward tells operators and the pool.
+//! What a controller reports to operators and sends to the pool.
 
 use stairvale_types::Moment;
 
@@ -6,71 +6,78 @@
 use crate::{Event, Policy, Reservation, Stage, Step, outbox, trial::Plan};
 
 impl Steward {
-    /// One line a stage, by the router that wrote it, and one when a version is found bad.
-    pub(super) fn say(&mut self, now: Moment, steps: &mut Vec<Step>) {
+    /// Emits one event for each stage, at the router that wrote it, and one when the version is rejected.
+    pub(super) fn log_transition(&mut self, now: Moment, steps: &mut Vec<Step>) {
         let Some((_, record)) = &self.record else { return };
-        let condemned = self.condemned.filter(|(order, ..)| *order == record.order);
-        let found = condemned.and_then(|(_, cause, route)| route.map(|route| (route, cause)));
-        let (stage, stands) = match condemned {
+        let rejection = self.verdict.filter(|(order, ..)| *order == record.order);
+        let found = rejection.and_then(|(_, cause, route)| route.map(|route| (route, cause)));
+        let (stage, is_committed) = match rejection {
             Some((_, cause, _)) if !record.stage.is_over() => (Stage::RolledBack(cause), false),
             _ => (record.stage, true),
         };
-        let is_own = if stands { record.writer == self.me } else { found.is_some() };
-        if self.said == Some((record.order, stage, stands)) || !is_own {
+        let is_own = if is_committed { record.writer == self.me } else { found.is_some() };
+        if self.last_logged == Some((record.order, stage, is_committed)) || !is_own {
             return;
         }
-        self.said = Some((record.order, stage, stands));
-        let counted = self.outbox.counted();
+        self.last_logged = Some((record.order, stage, is_committed));
+        let unrecorded = self.outbox.unrecorded();
         let mut routes = record.routes.clone();
-        outbox::add(&mut routes, &counted.routes);
+        outbox::add(&mut routes, &unrecorded.routes);
         steps.push(Step::Say(Event {
             service: self.service.clone(),
             order: record.order,
             target: record.target.clone(),
             stage,
-            stands,
+            stands: is_committed,
             found,
             elapsed: self.clock.age(now),
-            requests: record.requests + counted.requests,
+            requests: record.requests + unrecorded.requests,
             granted: record.granted,
             routes,
         }));
     }
 
-    /// What the pool is to follow, where that isn't what the copy says.
-    pub(super) fn follow(&mut self, steps: &mut Vec<Step>) {
+    /// Sends the pool its policy, where that differs from what follows from this router's copy of the store.
+    pub(super) fn update_policy(&mut self, steps: &mut Vec<Step>) {
         let order = self.order.as_ref().map(|(revision, order)| (*revision, order));
-        let by_copy = Policy::of(order, self.copy.as_ref().map(|(_, record)| record));
+        let cached_policy = Policy::of(order, self.cached_record.as_ref().map(|(_, record)| record));
         let mut wanted = Policy::of(order, self.record.as_ref().map(|(_, record)| record));
-        let cause = self.current().and_then(|order| self.is_condemned(order));
+        let cause = self.current_order().and_then(|order| self.rejection_cause(order));
         if let (Some(policy), Some(cause)) = (&mut wanted, cause)
             && !policy.stage.is_over()
         {
             policy.stage = Stage::RolledBack(cause);
         }
-        let has_changed = std::mem::take(&mut self.has_copy_changed);
+        let has_changed = std::mem::take(&mut self.has_cache_changed);
         let Some(wanted) = wanted else { return };
-        let is_told = self.followed.as_ref() == Some(&wanted);
-        if self.followed.is_some() && !is_told || by_copy.as_ref() != Some(&wanted) && (!is_told || has_changed) {
-            self.followed = Some(wanted.clone());
+        let is_sent = self.policy_override.as_ref() == Some(&wanted);
+        if self.policy_override.is_some() && !is_sent
+            || cached_policy.as_ref() != Some(&wanted) && (!is_sent || has_changed)
+        {
+            self.policy_override = Some(wanted.clone());
             steps.push(Step::Follow(wanted));
         }
     }
 
-    /// Gives out what stands in the store, or takes back what the pool may have left of it.
-    pub(super) fn hand_out(&mut self, now: Moment, steps: &mut Vec<Step>) {
-        let on_trial = self.on_trial();
-        if let Some(reserving) = self.granted.take()
-            && on_trial == Some(reserving.order)
-            && now < reserving.until
+    /// Issues the committed reservation to the pool, or revokes what the pool may have left of one.
+    pub(super) fn issue_reservation(&mut self, now: Moment, steps: &mut Vec<Step>) {
+        let trial_order = self.trial_order();
+        if let Some(reservation) = self.committed.take()
+            && trial_order == Some(reservation.order)
+            && now < reservation.until
         {
-            self.trial.given(now, reserving.plan);
-            self.given = Some((reserving.order, reserving.until));
-            let Plan { requests, over, unrepeatable, is_rehearsal: _ } = reserving.plan;
-            steps.push(Step::Reserve(Reservation { requests, until: reserving.until, over, unrepeatable }));
+            self.trial.reservation_issued(now, reservation.plan);
+            self.issued = Some((reservation.order, reservation.until));
+            let Plan { requests, upstreams, unrepeatable, is_rehearsal: _ } = reservation.plan;
+            steps.push(Step::Reserve(Reservation {
+                requests,
+                until: reservation.until,
+                over: upstreams,
+                unrepeatable,
+            }));
         }
-        if self.given.is_some_and(|(order, until)| now < until && on_trial != Some(order)) {
-            self.given = None;
+        if self.issued.is_some_and(|(order, until)| now < until && trial_order != Some(order)) {
+            self.issued = None;
             steps.push(Step::Reserve(Reservation { requests: 0, until: now, over: 1, unrepeatable: false }));
         }
     }
--- a/crates/stairvale-rollout/src/trial.rs
+++ b/crates/stairvale-rollout/src/trial.rs
@@ -1,114 +1,123 @@
-//! The pace of a trial: when the new version gets how much, and when it has shown enough.
+//! The pace of a trial: how many requests the new version gets at which time, and when it has answered enough of them.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use stairvale_types::{Moment, id};
 
-use crate::{Account, Bounds, Facts, record::Tally};
+use crate::{Bounds, ExposureBudget, Facts, record::Tally};
 
-/// Part of the bound that is used before the rehearsal; the rest is for that, and for what is under way.
-const PROBING: f64 = 0.55;
-/// Part of the bound that is ever used before the version is found good.
-const MOST: f64 = 0.85;
-/// With less than this part of the bound left, below [`MOST`], an earlier home has made the rehearsal: before it there is more.
-const REHEARSAL: f64 = 0.15;
-/// Between two reservations, each of which is a call to the store and replaces what is left of the one before; longer when that
-/// one takes longer to be given, up to its end.
-const PACE: Duration = Duration::from_millis(900);
-const PACE_MOST: Duration = Duration::from_millis(1_900);
-/// Of requests that may be repeated alone, which may be few of all, a reservation takes about so long.
-const PACE_REPEATABLE: Duration = Duration::from_millis(1_500);
-/// How much longer than by the rate of old upstreams a reservation takes to be given: new ones come beside old ones.
-const SHARED: f64 = 1.3;
-/// A reservation's fewest requests: fewer say nothing of an upstream.
-const FEWEST: f64 = 6.0;
-/// A reservation that is as large as this is made even if it loads an upstream for less than [`SPELL`].
-const AMPLE: f64 = 24.0;
-/// How long a reservation loads an upstream at least as old ones are loaded, in seconds.
-const SPELL: f64 = 0.5;
-/// The first reservations' most requests, until something is known of the version.
-const FIRST: u32 = 10;
-/// Answers from which requests that may run only once are tried, too...
-const KNOWN: u64 = 8;
-/// ... and the share of them that may be bad beyond the old version's.
-const BEARABLE: f64 = 0.25;
-/// Without any answer for so long since the first reservation, and with nothing running, the service has none of the routes
-/// that may be repeated. Until then no more is reserved, or most of a small service's bound would run out unused.
-const UNANSWERED: Duration = Duration::from_millis(2_200);
-/// Answers of the new version without which it isn't called good...
-const ENOUGH: u64 = 30;
-/// ... and those on each route that has more than [`COMMON`] of the old version's answers.
-const ENOUGH_OF_ROUTE: u64 = 5;
-/// Share of a service's answers from which a route must have been tried.
-const COMMON: f64 = 0.05;
-/// The fleet moves to as many upstreams as carry the service now, divided by this: a zone may be evacuated or away, and a crash
-/// may have taken some.
-const MANNED: usize = 2;
-/// How long what comes of the rehearsal is waited for, from when it was given out.
-const AFTERMATH: Duration = Duration::from_millis(800);
-/// While something speaks against the version, be it one upstream, the fleet waits so long for more.
-const SUSPECTED_FOR: Duration = Duration::from_secs(3);
-/// While there are doubts that aren't one upstream's, it moves only so long before the deadline.
-const DOUBTED: Duration = Duration::from_millis(2_000);
-/// Time for the fleet to move, with the rehearsal, as a part of what the order allows, and its limits.
-const MOVING: f64 = 0.33;
-const MOVING_LEAST: Duration = Duration::from_millis(2_500);
-const MOVING_MOST: Duration = Duration::from_secs(15);
-/// When something speaks against a version, so many upstreams are tried at once: one may be sick, and two must show it, too.
-const SUSPECTED: usize = 3;
-/// Half-life of the rate of requests, in seconds.
-const RATE: f64 = 2.0;
-/// Below this rate, in requests a second, nothing is reserved: it would run out unused.
-const IDLE: f64 = 0.2;
+/// Fraction of the exposure bound that is used before the rehearsal. The rest is kept for the rehearsal and for
+/// requests that are in flight.
+const PROBE_FRACTION: f64 = 0.55;
+/// Maximum fraction of the exposure bound that is used before the version is accepted.
+const MAX_TRIAL_FRACTION: f64 = 0.85;
+/// With less than this fraction of the bound left below [`MAX_TRIAL_FRACTION`], an earlier home has already made the
+/// rehearsal: before a rehearsal more is left.
+const MIN_REHEARSAL_FRACTION: f64 = 0.15;
+/// Minimum interval between two reservations. Each of them is a call to the store and replaces what is left of the one
+/// before, so the interval is longer when that one takes longer to be used, up to [`MAX_RESERVATION_INTERVAL`].
+const MIN_RESERVATION_INTERVAL: Duration = Duration::from_millis(900);
+/// Maximum interval between two reservations: about the time after which a reservation expires.
+const MAX_RESERVATION_INTERVAL: Duration = Duration::from_millis(1_900);
+/// Minimum interval after a reservation that only covers requests that may be repeated. They may be a small part of all
+/// requests, so such a reservation takes about this long to be used.
+const MIN_REPEATABLE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Factor by which a reservation takes longer to be used than the request rate of the old upstreams suggests, since new
+/// upstreams share the requests with old ones.
+const ISSUE_TIME_FACTOR: f64 = 1.3;
+/// Minimum number of requests in a reservation: fewer show nothing about an upstream.
+const MIN_REQUESTS: f64 = 6.0;
+/// A reservation of this many requests is made even if it loads an upstream for less than [`MIN_LOAD_SECONDS`].
+const SUFFICIENT_REQUESTS: f64 = 24.0;
+/// Minimum time, in seconds, for which a reservation loads an upstream as old upstreams are loaded.
+const MIN_LOAD_SECONDS: f64 = 0.5;
+/// Maximum number of requests in each of the first reservations, while little is known about the version.
+const MAX_FIRST_REQUESTS: u32 = 10;
+/// Number of answers of the new version from which requests that may run only once are tried as well.
+const MIN_ANSWERS_FOR_UNREPEATABLE: u64 = 8;
+/// Maximum share of bad answers, beyond the old version's share, with which requests that may run only once are tried.
+const MAX_EXCESS_BAD_SHARE: f64 = 0.25;
+/// Without any answer for this long after the first reservation, and with nothing running, the service is taken to have
+/// no repeatable routes. Until then no more is reserved, or most of a small service's bound would expire unused.
+const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Minimum number of answers of the new version before it is accepted.
+const MIN_ANSWERS: u64 = 30;
+/// Minimum number of answers on each route that has more than [`COMMON_ROUTE_SHARE`] of the old version's answers.
+const MIN_ANSWERS_PER_ROUTE: u64 = 5;
+/// Share of a service's answers above which a route must have been tried.
+const COMMON_ROUTE_SHARE: f64 = 0.05;
+/// The fleet only moves when the new version has at least as many upstreams as the old one, divided by this number. It
+/// is more than one, since a zone may be evacuated or unavailable and some upstreams may have crashed.
+const CAPACITY_DIVISOR: usize = 2;
+/// How long the results of the rehearsal are awaited, from the time when it has been issued.
+const REHEARSAL_OBSERVATION: Duration = Duration::from_millis(800);
+/// Maximum time after the rehearsal for which the fleet waits for more answers while there is evidence against the
+/// version, even of a single upstream.
+const MAX_SUSPICION_DELAY: Duration = Duration::from_secs(3);
+/// While there is evidence against the version beyond its worst upstream, the fleet does not move until this long
+/// before the deadline.
+const SUSPICION_DEADLINE_MARGIN: Duration = Duration::from_millis(2_000);
+/// Fraction of the time that the order allows which is kept for the rehearsal and the move, between [`MIN_MOVING_TIME`]
+/// and [`MAX_MOVING_TIME`].
+const MOVING_FRACTION: f64 = 0.33;
+const MIN_MOVING_TIME: Duration = Duration::from_millis(2_500);
+const MAX_MOVING_TIME: Duration = Duration::from_secs(15);
+/// Minimum number of upstreams tried at once while there is evidence against the version: one may be faulty, and two
+/// more must show the fault as well.
+const MIN_UPSTREAMS_IF_SUSPECTED: usize = 3;
+/// Half-life of the request rate, in seconds.
+const RATE_HALF_LIFE_SECONDS: f64 = 2.0;
+/// Below this rate, in requests per second, nothing is reserved, since a reservation would expire unused.
+const MIN_RATE: f64 = 0.2;
 
-/// What the trial needs next.
+/// The next action of a trial.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
-    /// Nothing yet.
+pub enum Action {
+    /// There is nothing to do yet.
     Wait,
-    /// A reservation.
+    /// Make this reservation.
     Reserve(Plan),
-    /// The version is good: the fleet moves.
+    /// The version is accepted, and the fleet moves to it.
     Move,
-    /// Too little was seen of it.
+    /// Too few answers of the version were observed in time.
     Unproven,
-    /// None of its upstreams came.
+    /// None of the version's upstreams became ready in time.
     Missing,
 }
 
 /// A reservation to be made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Plan {
-    /// Requests.
+    /// Number of requests to reserve.
     pub requests: u32,
-    /// Upstreams.
-    pub over: usize,
-    /// Whether requests that may run only once are tried.
+    /// Number of upstreams among which the requests are distributed.
+    pub upstreams: usize,
+    /// Whether requests that may run only once are included.
     pub unrepeatable: bool,
-    /// Whether it is the last one, over all upstreams.
+    /// Whether this is the rehearsal: the last reservation, which covers all upstreams.
     pub is_rehearsal: bool,
 }
 
-/// How far a trial is.
+/// The progress of a trial.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct Progress<'a> {
     /// Time since the order.
     pub elapsed: Duration,
     /// Time that the order allows.
-    pub over: Duration,
-    /// What was set aside so far, and what the service got.
-    pub account: Account,
-    /// What became of requests.
+    pub deadline: Duration,
+    /// The requests granted so far, and the service's requests.
+    pub budget: ExposureBudget,
+    /// Results of requests at both versions, by route.
     pub routes: &'a BTreeMap<id::Route, Tally>,
-    /// What the home sees.
-    pub facts: &'a Facts,
-    /// Whether something speaks against the version, be it at one upstream.
-    pub suspects: bool,
-    /// Whether something speaks against it that isn't one upstream's.
-    pub doubts: bool,
+    /// The upstreams and running requests that the home observes.
+    pub fleet: &'a Facts,
+    /// Whether there is evidence against the version, even of a single upstream.
+    pub is_suspected: bool,
+    /// Whether there is evidence against the version even without its worst upstream.
+    pub is_suspected_without_worst: bool,
 }
 
-impl View<'_> {
+impl Progress<'_> {
     fn answers(&self) -> u64 {
         self.routes.values().map(|tally| tally.new.answers).sum()
     }
@@ -117,220 +126,241 @@
         self.routes.values().map(|tally| tally.new.failed + tally.new.slow).sum()
     }
 
-    /// The share of the old version's answers that were bad: routes fail by themselves.
+    /// The share of bad answers among the old version's answers, since routes fail at a healthy version as well.
     #[expect(clippy::cast_precision_loss, reason = "counts of answers are far below 2^52")]
-    fn share_of_old(&self) -> f64 {
+    fn old_bad_share(&self) -> f64 {
         let answers: u64 = self.routes.values().map(|tally| tally.old.answers).sum();
         let bad: u64 = self.routes.values().map(|tally| tally.old.failed + tally.old.slow).sum();
         bad as f64 / answers.max(1) as f64
     }
 
-    /// Whether the version's upstreams could carry the service: a few early ones would fall over when all requests go there, and the
-    /// old ones stop when that is over.
-    fn is_manned(&self) -> bool {
-        self.facts.ready_new * MANNED >= self.facts.ready_old
+    /// Whether the version has enough upstreams to sustain the service. A few early ones would be overloaded if all
+    /// requests went there, and the old upstreams stop once the roll-out is completed.
+    fn has_capacity(&self) -> bool {
+        self.fleet.ready_new * CAPACITY_DIVISOR >= self.fleet.ready_old
     }
 
-    /// Whether enough was seen of the version to call it good. After the deadline a route that is seldom asked for by what
-    /// may go there holds it up no longer.
+    /// Whether the version has given enough answers to be accepted. After the deadline, a route on which few requests
+    /// may go to the new version no longer delays that.
     #[expect(clippy::cast_precision_loss, reason = "counts of answers are far below 2^52")]
-    fn is_enough(&self) -> bool {
-        if self.answers() < ENOUGH {
+    fn has_enough_answers(&self) -> bool {
+        if self.answers() < MIN_ANSWERS {
             return false;
         }
         let old: u64 = self.routes.values().map(|tally| tally.old.answers).sum();
-        let is_common = |tally: &&Tally| tally.old.answers as f64 > COMMON * old as f64;
-        self.elapsed >= self.over
-            || self.routes.values().filter(is_common).all(|tally| tally.new.answers >= ENOUGH_OF_ROUTE)
+        let is_common = |tally: &&Tally| tally.old.answers as f64 > COMMON_ROUTE_SHARE * old as f64;
+        self.elapsed >= self.deadline
+            || self.routes.values().filter(is_common).all(|tally| tally.new.answers >= MIN_ANSWERS_PER_ROUTE)
     }
 }
 
-/// Time that is kept for the fleet to move, with the rehearsal.
-pub fn moving(over: Duration) -> Duration {
-    over.mul_f64(MOVING).clamp(MOVING_LEAST, MOVING_MOST).min(over.mul_f64(0.6))
+/// Time that is kept for the rehearsal and the move.
+pub fn moving_time(deadline: Duration) -> Duration {
+    deadline.mul_f64(MOVING_FRACTION).clamp(MIN_MOVING_TIME, MAX_MOVING_TIME).min(deadline.mul_f64(0.6))
 }
 
-/// The trial of one version, as one home carries it on. Nothing here must outlive it.
+/// The trial of one version, as run by one home. Nothing in it needs to survive that home.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trial {
-    /// Requests, fading.
-    recent: f64,
-    /// When they were faded last.
-    faded: Moment,
+    /// Number of requests, decaying exponentially.
+    recent_requests: f64,
+    /// When `recent_requests` was last decayed.
+    decayed_at: Moment,
     /// Since when requests are counted.
-    since: Option<Moment>,
-    /// How long the last reservation takes to be given out.
-    takes: Duration,
-    /// From when the next reservation may be sent to the store.
-    next: Option<Moment>,
-    /// When the first one was given out.
-    first: Option<Moment>,
-    /// When the rehearsal has been given out, or was left out.
-    rehearsed: Option<Moment>,
-    /// Whether any upstream of the version was ready.
+    counting_since: Option<Moment>,
+    /// How long the pool takes to use the last reservation.
+    issue_time: Duration,
+    /// The earliest time at which the next reservation may be sent to the store.
+    next_reservation_at: Option<Moment>,
+    /// When the first reservation was issued.
+    first_issued_at: Option<Moment>,
+    /// When the rehearsal is expected to have been used, or when it was skipped.
+    rehearsed_at: Option<Moment>,
+    /// Whether any upstream of the version has been ready.
     was_ready: bool,
-    /// Whether the service showed none of the routes that may be repeated.
-    is_unrepeatable: bool,
+    /// Whether no repeatable route of the service was observed.
+    is_only_unrepeatable: bool,
 }
 
 impl Trial {
-    /// A new version is tried; the rate of requests goes on.
+    /// Begins the trial of another version, keeping the request rate.
     pub fn restart(&mut self) {
-        *self = Self { recent: self.recent, faded: self.faded, since: self.since, ..Self::default() };
+        *self = Self {
+            recent_requests: self.recent_requests,
+            decayed_at: self.decayed_at,
+            counting_since: self.counting_since,
+            ..Self::default()
+        };
     }
 
-    /// Requests came.
-    #[expect(clippy::cast_precision_loss, reason = "requests of a twentieth of a second")]
+    /// Counts requests of the service.
+    #[expect(clippy::cast_precision_loss, reason = "requests within one tick are far below 2^52")]
     pub fn count(&mut self, now: Moment, requests: u64) {
-        self.since.get_or_insert(now);
-        self.recent = self.faded_to(now) + requests as f64;
-        self.faded = now;
+        self.counting_since.get_or_insert(now);
+        self.recent_requests = self.decayed_requests(now) + requests as f64;
+        self.decayed_at = now;
     }
 
-    /// A reservation was sent to the store.
-    pub fn sent(&mut self, now: Moment, plan: Plan, facts: &Facts) {
-        let least = if plan.unrepeatable { PACE } else { PACE_REPEATABLE };
-        self.takes = self.time_of(now, plan, facts);
-        self.next = Some(now + self.takes.clamp(least, PACE_MOST));
+    /// Records that a reservation was sent to the store.
+    pub fn reservation_sent(&mut self, now: Moment, plan: Plan, fleet: &Facts) {
+        let min_interval = if plan.unrepeatable { MIN_RESERVATION_INTERVAL } else { MIN_REPEATABLE_INTERVAL };
+        self.issue_time = self.issue_time_of(now, plan, fleet);
+        self.next_reservation_at = Some(now + self.issue_time.clamp(min_interval, MAX_RESERVATION_INTERVAL));
     }
 
-    /// A reservation stands and is given out.
-    pub fn given(&mut self, now: Moment, plan: Plan) {
-        self.first.get_or_insert(now);
+    /// Records that a reservation was written to the store and is issued to the pool.
+    pub fn reservation_issued(&mut self, now: Moment, plan: Plan) {
+        self.first_issued_at.get_or_insert(now);
         if plan.is_rehearsal {
-            self.rehearsed.get_or_insert(now + self.takes.min(PACE_MOST));
+            self.rehearsed_at.get_or_insert(now + self.issue_time.min(MAX_RESERVATION_INTERVAL));
         }
     }
 
-    /// What the trial needs next.
-    pub fn next(&mut self, now: Moment, bounds: &Bounds, view: &View<'_>) -> Next {
-        self.was_ready |= view.facts.ready_new > 0 || view.account.granted > 0;
-        let is_unanswered = view.answers() == 0 && view.facts.running_new == 0;
-        self.is_unrepeatable |= is_unanswered && self.first.is_some_and(|first| now.since(first) >= UNANSWERED);
-        if view.elapsed >= view.over && !self.was_ready {
-            return Next::Missing;
+    /// The next action of the trial.
+    pub fn next_action(&mut self, now: Moment, bounds: &Bounds, progress: &Progress<'_>) -> Action {
+        self.was_ready |= progress.fleet.ready_new > 0 || progress.budget.granted > 0;
+        let is_unanswered = progress.answers() == 0 && progress.fleet.running_new == 0;
+        self.is_only_unrepeatable |=
+            is_unanswered && self.first_issued_at.is_some_and(|first| now.since(first) >= UNANSWERED_TIMEOUT);
+        if progress.elapsed >= progress.deadline && !self.was_ready {
+            return Action::Missing;
         }
-        let is_due = view.elapsed >= view.over.saturating_sub(moving(view.over));
-        if is_due && view.is_enough() && view.is_manned() {
-            return self.finish(now, bounds, view);
+        let is_time_to_move = progress.elapsed >= progress.deadline.saturating_sub(moving_time(progress.deadline));
+        if is_time_to_move && progress.has_enough_answers() && progress.has_capacity() {
+            return self.rehearse_or_move(now, bounds, progress);
         }
-        if view.elapsed >= 2 * view.over {
-            return Next::Unproven;
+        if progress.elapsed >= 2 * progress.deadline {
+            return Action::Unproven;
         }
-        self.probe(now, bounds, view)
+        self.probe(now, bounds, progress)
     }
 
-    fn probe(&self, now: Moment, bounds: &Bounds, view: &View<'_>) -> Next {
+    fn probe(&self, now: Moment, bounds: &Bounds, progress: &Progress<'_>) -> Action {
         let rate = self.rate(now);
-        if view.facts.ready_new == 0 || rate < IDLE || !self.is_time(now) {
-            return Next::Wait;
+        if progress.fleet.ready_new == 0 || rate < MIN_RATE || !self.is_interval_over(now) {
+            return Action::Wait;
         }
-        if view.answers() == 0 && self.first.is_some_and(|first| now.since(first) < UNANSWERED) {
-            return Next::Wait;
+        if progress.answers() == 0 && self.first_issued_at.is_some_and(|first| now.since(first) < UNANSWERED_TIMEOUT) {
+            return Action::Wait;
         }
-        let each = self.rate_of_one(now, view.facts);
-        let least = (SPELL * each).clamp(FEWEST, AMPLE);
-        // What speaks against a version is looked into at once, with what was kept for the rehearsal if need be.
-        // When it is time to move and too little was seen, that goes before a rehearsal.
-        let is_due = view.elapsed >= view.over.saturating_sub(moving(view.over));
-        let room = view.account.room(bounds, if view.suspects || is_due { MOST } else { PROBING });
-        if f64::from(room) < least {
-            return Next::Wait;
+        let rate_per_upstream = self.rate_per_old_upstream(now, progress.fleet);
+        let min_requests = (MIN_LOAD_SECONDS * rate_per_upstream).clamp(MIN_REQUESTS, SUFFICIENT_REQUESTS);
+        // Evidence against a version is followed up at once, if necessary with what was kept for the rehearsal. When it
+        // is time to move and there are too few answers, getting them takes precedence over a rehearsal.
+        let is_time_to_move = progress.elapsed >= progress.deadline.saturating_sub(moving_time(progress.deadline));
+        let room = progress
+            .budget
+            .room(bounds, if progress.is_suspected || is_time_to_move { MAX_TRIAL_FRACTION } else { PROBE_FRACTION });
+        if f64::from(room) < min_requests {
+            return Action::Wait;
         }
-        let full = count((each * counted(view.facts.ready_new)).max(least));
-        let unrepeatable = self.may_be_unrepeatable(view);
-        let most = if view.answers() >= KNOWN {
+        let full = ceil_to_u32((rate_per_upstream * to_f64(progress.fleet.ready_new)).max(min_requests));
+        let unrepeatable = self.may_include_unrepeatable(progress);
+        let max_requests = if progress.answers() >= MIN_ANSWERS_FOR_UNREPEATABLE {
             full
         } else if unrepeatable {
-            count(FEWEST)
+            ceil_to_u32(MIN_REQUESTS)
         } else {
-            FIRST.min(full)
+            MAX_FIRST_REQUESTS.min(full)
         };
-        let requests = room.min(if view.suspects { most.min(count(AMPLE)) } else { most });
-        let over = spread(requests, each).max(if view.suspects { SUSPECTED } else { 1 }).min(view.facts.ready_new);
-        Next::Reserve(Plan { requests, over, unrepeatable, is_rehearsal: false })
+        let requests = room.min(if progress.is_suspected {
+            max_requests.min(ceil_to_u32(SUFFICIENT_REQUESTS))
+        } else {
+            max_requests
+        });
+        let upstreams = upstreams_for(requests, rate_per_upstream)
+            .max(if progress.is_suspected { MIN_UPSTREAMS_IF_SUSPECTED } else { 1 })
+            .min(progress.fleet.ready_new);
+        Action::Reserve(Plan { requests, upstreams, unrepeatable, is_rehearsal: false })
     }
 
-    /// The version goes through the full load once, as far as the bound allows, and then the fleet moves.
-    fn finish(&mut self, now: Moment, bounds: &Bounds, view: &View<'_>) -> Next {
-        if view.elapsed >= view.over {
-            // A fleet whose homes die one after the other gets no rehearsal.
-            self.rehearsed.get_or_insert(now);
+    /// Sends the version the full load once, as far as the bound allows, and then moves the fleet.
+    fn rehearse_or_move(&mut self, now: Moment, bounds: &Bounds, progress: &Progress<'_>) -> Action {
+        if progress.elapsed >= progress.deadline {
+            // After the deadline there is no rehearsal, for instance if one home after another has died.
+            self.rehearsed_at.get_or_insert(now);
         }
-        if let Some(rehearsed) = self.rehearsed {
-            if now < rehearsed + AFTERMATH && view.elapsed < view.over {
-                return Next::Wait;
+        if let Some(rehearsed_at) = self.rehearsed_at {
+            if now < rehearsed_at + REHEARSAL_OBSERVATION && progress.elapsed < progress.deadline {
+                return Action::Wait;
             }
-            let waits = view.doubts || view.suspects && now < rehearsed + SUSPECTED_FOR;
-            if !waits || view.elapsed + DOUBTED >= view.over {
-                return Next::Move;
+            let waits = progress.is_suspected_without_worst
+                || progress.is_suspected && now < rehearsed_at + MAX_SUSPICION_DELAY;
+            if !waits || progress.elapsed + SUSPICION_DEADLINE_MARGIN >= progress.deadline {
+                return Action::Move;
             }
         }
-        if !self.is_time(now) {
-            return Next::Wait;
+        if !self.is_interval_over(now) {
+            return Action::Wait;
         }
-        if view.facts.ready_new == 0 {
-            return Next::Wait;
+        if progress.fleet.ready_new == 0 {
+            return Action::Wait;
         }
-        let room = view.account.room(bounds, MOST);
-        let least = FEWEST.max(REHEARSAL * view.account.bound(bounds));
-        if self.rehearsed.is_none() && f64::from(room) < least || f64::from(room) < FEWEST || self.rate(now) < IDLE {
-            self.rehearsed.get_or_insert(now);
-            return Next::Wait;
+        let room = progress.budget.room(bounds, MAX_TRIAL_FRACTION);
+        let min_requests = MIN_REQUESTS.max(MIN_REHEARSAL_FRACTION * progress.budget.bound(bounds));
+        if self.rehearsed_at.is_none() && f64::from(room) < min_requests
+            || f64::from(room) < MIN_REQUESTS
+            || self.rate(now) < MIN_RATE
+        {
+            self.rehearsed_at.get_or_insert(now);
+            return Action::Wait;
         }
-        let requests = room.min(count((2.0 * self.rate(now)).max(FEWEST)));
-        let unrepeatable = self.may_be_unrepeatable(view);
-        Next::Reserve(Plan { requests, over: view.facts.ready_new, unrepeatable, is_rehearsal: true })
+        let requests = room.min(ceil_to_u32((2.0 * self.rate(now)).max(MIN_REQUESTS)));
+        let unrepeatable = self.may_include_unrepeatable(progress);
+        Action::Reserve(Plan { requests, upstreams: progress.fleet.ready_new, unrepeatable, is_rehearsal: true })
     }
 
     #[expect(clippy::cast_precision_loss, reason = "counts of answers are far below 2^52")]
-    fn may_be_unrepeatable(&self, view: &View<'_>) -> bool {
-        let answers = view.answers();
-        let bearable = BEARABLE + view.share_of_old();
-        (answers >= KNOWN || self.is_unrepeatable) && view.bad() as f64 <= bearable * answers as f64
+    fn may_include_unrepeatable(&self, progress: &Progress<'_>) -> bool {
+        let answers = progress.answers();
+        let max_bad_share = MAX_EXCESS_BAD_SHARE + progress.old_bad_share();
+        (answers >= MIN_ANSWERS_FOR_UNREPEATABLE || self.is_only_unrepeatable)
+            && progress.bad() as f64 <= max_bad_share * answers as f64
     }
 
-    /// How long the pool takes to give a reservation out.
-    fn time_of(&self, now: Moment, plan: Plan, facts: &Facts) -> Duration {
-        let rate = self.rate_of_one(now, facts) * counted(plan.over);
-        Duration::from_secs_f64(SHARED * f64::from(plan.requests) / rate.max(1.0))
+    /// How long the pool takes to use a reservation.
+    fn issue_time_of(&self, now: Moment, plan: Plan, fleet: &Facts) -> Duration {
+        let rate = self.rate_per_old_upstream(now, fleet) * to_f64(plan.upstreams);
+        Duration::from_secs_f64(ISSUE_TIME_FACTOR * f64::from(plan.requests) / rate.max(1.0))
     }
 
-    fn is_time(&self, now: Moment) -> bool {
-        self.next.is_none_or(|next| now >= next)
+    fn is_interval_over(&self, now: Moment) -> bool {
+        self.next_reservation_at.is_none_or(|next| now >= next)
     }
 
-    /// Requests a second of the service.
+    /// Request rate of the service, per second.
     fn rate(&self, now: Moment) -> f64 {
-        let Some(since) = self.since else { return 0.0 };
-        let seen = now.since(since).as_secs_f64();
-        // Before a half-life has passed, what there is stands for less than a whole one; a tick is the least.
-        let full = (1.0 - (-seen.max(0.05) / RATE).exp2()) * RATE / std::f64::consts::LN_2;
-        self.faded_to(now) / full
+        let Some(since) = self.counting_since else { return 0.0 };
+        let observed = now.since(since).as_secs_f64();
+        // Before a half-life has passed, the decayed count covers less than a full window. A tick of 50 ms is the
+        // minimum.
+        let full = (1.0 - (-observed.max(0.05) / RATE_HALF_LIFE_SECONDS).exp2()) * RATE_HALF_LIFE_SECONDS
+            / std::f64::consts::LN_2;
+        self.decayed_requests(now) / full
     }
 
-    /// Requests a second of one upstream of the old version.
-    fn rate_of_one(&self, now: Moment, facts: &Facts) -> f64 {
-        self.rate(now) / counted(facts.ready_old.max(1))
+    /// Request rate per upstream of the old version, per second.
+    fn rate_per_old_upstream(&self, now: Moment, fleet: &Facts) -> f64 {
+        self.rate(now) / to_f64(fleet.ready_old.max(1))
     }
 
-    fn faded_to(&self, now: Moment) -> f64 {
-        self.recent * (-now.since(self.faded).as_secs_f64() / RATE).exp2()
+    fn decayed_requests(&self, now: Moment) -> f64 {
+        self.recent_requests * (-now.since(self.decayed_at).as_secs_f64() / RATE_HALF_LIFE_SECONDS).exp2()
     }
 }
 
-/// How many upstreams so many requests load for a second.
-#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "between 1 and the requests")]
-fn spread(requests: u32, each: f64) -> usize {
-    (f64::from(requests) / each.max(0.1)).round().clamp(1.0, f64::from(requests.max(1))) as usize
+/// The number of upstreams that this many requests load for one second.
+#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped to 1..=requests before the cast")]
+fn upstreams_for(requests: u32, rate_per_upstream: f64) -> usize {
+    (f64::from(requests) / rate_per_upstream.max(0.1)).round().clamp(1.0, f64::from(requests.max(1))) as usize
 }
 
-#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "cut to what fits")]
-fn count(requests: f64) -> u32 {
+#[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped before the cast")]
+fn ceil_to_u32(requests: f64) -> u32 {
     requests.ceil().clamp(0.0, 1e9) as u32
 }
 
-#[expect(clippy::cast_precision_loss, reason = "upstreams of a service")]
-fn counted(upstreams: usize) -> f64 {
+#[expect(clippy::cast_precision_loss, reason = "a service has far fewer than 2^52 upstreams")]
+fn to_f64(upstreams: usize) -> f64 {
     upstreams as f64
 }
--- a/crates/stairvale-rollout/tests/interleavings.rs
+++ b/crates/stairvale-rollout/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! What must hold in any order of events: two routers that both take themselves for the home, a store whose answers are lost
-//! and whose writes are done late, kills, freezes, orders that change.
+//! Properties that must hold in any order of events: two routers that both act as home, a store whose answers are lost
+//! and whose writes are executed late, kills, freezes, and changing orders.
 
 #![allow(clippy::unwrap_used, clippy::needless_pass_by_value)]
 
@@ -14,64 +14,64 @@
 use stairvale_types::{Moment, id};
 use world::{Store, TICK, bounds, order, upstream, version};
 
-/// Longer than a reservation is valid.
-const VALID: Duration = Duration::from_secs(2);
+/// Time after the end of a version's trial from which no requests may be given to it: the validity of a reservation.
+const RESERVATION_TTL: Duration = Duration::from_secs(2);
 
-/// A router: its steward, its copy of the store, and its pool, as far as it gives something to the version on trial.
+/// A router: its controller, its copy of the store, and its pool, reduced to what it gives to the version on trial.
 struct Router {
     name: id::Router,
-    steward: Steward,
-    /// The world's time at which its clock began.
-    begun: Moment,
+    controller: Steward,
+    /// The world's time at which the router's clock started.
+    clock_started: Moment,
     is_home: bool,
-    /// Whether its control stands still, or hears nothing, while its pool goes on.
+    /// Whether the router's control loop is frozen or receives nothing, while its pool continues.
     is_frozen: bool,
     order: Option<(u64, Order)>,
     record: Option<(u64, Record)>,
-    follow: Option<Policy>,
-    /// What was reserved, for which version, and the order of the record that it was written in.
+    policy_override: Option<Policy>,
+    /// The reservation, its version, and the order of the record in which it was written.
     reservation: Option<(Reservation, id::Version, u64)>,
     in_flight: Option<Write>,
-    /// The order of the record that was sent to the store last.
-    wrote: u64,
+    /// The order of the last record that was sent to the store.
+    last_write_order: u64,
 }
 
 impl Router {
     fn new(name: usize, now: Moment) -> Self {
         let name: id::Router = format!("r{name}").parse().unwrap();
         Self {
-            steward: Steward::new(name.clone(), "app".parse().unwrap(), bounds()),
+            controller: Steward::new(name.clone(), "app".parse().unwrap(), bounds()),
             name,
-            begun: now,
+            clock_started: now,
             is_home: false,
             is_frozen: false,
             order: None,
             record: None,
-            follow: None,
+            policy_override: None,
             reservation: None,
             in_flight: None,
-            wrote: 0,
+            last_write_order: 0,
         }
     }
 
     fn local(&self, now: Moment) -> Moment {
-        Moment::ZERO + now.since(self.begun)
+        Moment::ZERO + now.since(self.clock_started)
     }
 
     fn policy(&self) -> Option<Policy> {
         let order = self.order.as_ref().map(|(revision, order)| (*revision, order));
-        self.follow.clone().or_else(|| Policy::of(order, self.record.as_ref().map(|(_, record)| record)))
+        self.policy_override.clone().or_else(|| Policy::of(order, self.record.as_ref().map(|(_, record)| record)))
     }
 }
 
-/// What the world knows of one account: all records in a row that are about one version.
+/// The actual exposure of one version: a sequence of records that are all about that version shares it.
 #[derive(Clone, Debug, Default)]
-struct Account {
-    /// Requests of the service before its first order.
-    before: u64,
-    /// Requests that its version got.
-    given: u64,
-    /// When a record that ended the version's trial stood, if the last one did.
+struct Exposure {
+    /// Requests of the service before the version's first order.
+    requests_before: u64,
+    /// Requests that the version got.
+    new_requests: u64,
+    /// When the version's trial ended in the store, if the last record says so.
     ended: Option<Moment>,
 }
 
@@ -79,14 +79,14 @@
     now: Moment,
     store: Store,
     routers: Vec<Router>,
-    late: Vec<Write>,
-    /// Requests of the service, and how many there were at each order.
+    delayed: Vec<Write>,
+    /// Requests of the service so far. The next field holds their number at each order.
     requests: u64,
-    at_order: BTreeMap<u64, u64>,
-    accounts: Vec<Account>,
-    /// The account that an order belongs to.
-    account_of: BTreeMap<u64, usize>,
-    fault: Option<String>,
+    requests_at_order: BTreeMap<u64, u64>,
+    exposures: Vec<Exposure>,
+    /// The index of the exposure that an order belongs to.
+    exposure_of: BTreeMap<u64, usize>,
+    violation: Option<String>,
 }
 
 impl World {
@@ -96,85 +96,85 @@
             now,
             store: Store::default(),
             routers: (0..3).map(|name| Router::new(name, now)).collect(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             requests: 0,
-            at_order: BTreeMap::new(),
-            accounts: Vec::new(),
-            account_of: BTreeMap::new(),
-            fault: None,
+            requests_at_order: BTreeMap::new(),
+            exposures: Vec::new(),
+            exposure_of: BTreeMap::new(),
+            violation: None,
         }
     }
 
-    fn check(&mut self, holds: bool, fault: impl FnOnce() -> String) {
-        if !holds && self.fault.is_none() {
-            self.fault = Some(fault());
+    fn check(&mut self, holds: bool, violation: impl FnOnce() -> String) {
+        if !holds && self.violation.is_none() {
+            self.violation = Some(violation());
         }
     }
 
-    fn step(&mut self, (what, who, how): (u8, u8, u8)) {
-        let who = usize::from(who) % self.routers.len();
-        match what % 20 {
-            0..=6 => self.pass(u64::from(how % 4) + 1, how),
-            7..=10 => self.answer(who, how),
-            11 => self.learn(who),
-            12..=14 => self.give(who, u64::from(how % 40)),
-            15 if how < 128 => self.turn(who),
-            16 => self.do_late(how),
-            17 if how < 64 => self.kill(who, how),
-            15 | 17 => self.give(who, 40),
-            18 => self.order(how),
-            _ => self.rare(who, how),
+    fn step(&mut self, (action, index, choice): (u8, u8, u8)) {
+        let index = usize::from(index) % self.routers.len();
+        match action % 20 {
+            0..=6 => self.advance(u64::from(choice % 4) + 1, choice),
+            7..=10 => self.answer_write(index, choice),
+            11 => self.update_copy(index),
+            12..=14 => self.give_requests(index, u64::from(choice % 40)),
+            15 if choice < 128 => self.toggle_home(index),
+            16 => self.execute_delayed(choice),
+            17 if choice < 64 => self.kill(index, choice),
+            15 | 17 => self.give_requests(index, 40),
+            18 => self.order(choice),
+            _ => self.rare_event(index, choice),
         }
     }
 
-    /// Time passes, and requests come to homes that aren't frozen.
-    fn pass(&mut self, ticks: u64, how: u8) {
+    /// Advances the time, and sends requests to homes that aren't frozen.
+    fn advance(&mut self, ticks: u64, choice: u8) {
         for _ in 0..ticks {
             self.now = self.now + TICK;
-            for who in 0..self.routers.len() {
-                if self.routers[who].is_home && !self.routers[who].is_frozen {
-                    self.tick(who, how);
+            for index in 0..self.routers.len() {
+                if self.routers[index].is_home && !self.routers[index].is_frozen {
+                    self.tick(index, choice);
                 }
             }
         }
     }
 
-    fn tick(&mut self, who: usize, how: u8) {
-        let requests = u64::from(how % 16);
+    fn tick(&mut self, index: usize, choice: u8) {
+        let requests = u64::from(choice % 16);
         self.requests += requests;
         let observation = |number: u8| Observation {
             route: id::Route::of("a"),
             upstream: upstream(usize::from(number % 5)),
             is_new: number.is_multiple_of(3),
-            answer: if how > 250 { Answer::Failed } else { Answer::Good },
+            answer: if choice > 250 { Answer::Failed } else { Answer::Good },
         };
-        let report = Report { requests, observations: (0..how % 16).map(observation).collect() };
-        let facts = Facts {
-            ready_new: usize::from(how % 11),
+        let report = Report { requests, observations: (0..choice % 16).map(observation).collect() };
+        let fleet = Facts {
+            ready_new: usize::from(choice % 11),
             ready_old: 10,
             running_new: 0,
-            running_old: u32::from(how.is_multiple_of(5)),
+            running_old: u32::from(choice.is_multiple_of(5)),
             serving: Some(version("v1")),
         };
-        let router = &mut self.routers[who];
+        let router = &mut self.routers[index];
         let local = router.local(self.now);
-        router.steward.observe(local, report);
-        for step in router.steward.tick(local, &facts) {
-            let router = &mut self.routers[who];
+        router.controller.observe(local, report);
+        for step in router.controller.tick(local, &fleet) {
+            let router = &mut self.routers[index];
             match step {
                 Step::Write(write) => {
                     assert!(router.in_flight.is_none(), "two writes at a time");
-                    router.wrote = write.record.order;
+                    router.last_write_order = write.record.order;
                     router.in_flight = Some(write);
                 }
                 Step::Reserve(reservation) => {
                     let target = router.policy().map(|policy| policy.target);
-                    router.reservation = target.map(|target| (reservation, target, router.wrote));
-                    if how.is_multiple_of(4) {
-                        self.give(who, 1_000);
+                    router.reservation = target.map(|target| (reservation, target, router.last_write_order));
+                    if choice.is_multiple_of(4) {
+                        self.give_requests(index, 1_000);
                     }
                 }
-                Step::Follow(policy) => router.follow = Some(policy),
+                Step::Follow(policy) => router.policy_override = Some(policy),
                 Step::Say(_) => {}
             }
         }
@@ -189,20 +189,22 @@
         written
     }
 
-    /// One record follows another.
+    /// Checks that one record may follow another.
     fn check_change(&mut self, before: Option<&Record>, after: &Record) {
         if before.is_none_or(|before| before.target != after.target) {
-            let before = self.at_order[&after.order];
-            self.accounts.push(Account { before, ..Account::default() });
+            let requests_before = self.requests_at_order[&after.order];
+            self.exposures.push(Exposure { requests_before, ..Exposure::default() });
         }
-        let number = self.accounts.len() - 1;
-        self.account_of.insert(after.order, number);
+        let number = self.exposures.len() - 1;
+        self.exposure_of.insert(after.order, number);
         let now = self.now;
-        let account = &mut self.accounts[number];
-        account.ended = after.stage.is_over().then(|| account.ended.unwrap_or(now));
-        let (account, requests) = (account.clone(), self.requests);
-        self.check(after.granted >= account.given, || format!("{account:?}, {after:?}"));
-        self.check(after.requests <= requests - account.before, || format!("{requests}, {account:?}, {after:?}"));
+        let exposure = &mut self.exposures[number];
+        exposure.ended = after.stage.is_over().then(|| exposure.ended.unwrap_or(now));
+        let (exposure, requests) = (exposure.clone(), self.requests);
+        self.check(after.granted >= exposure.new_requests, || format!("{exposure:?}, {after:?}"));
+        self.check(after.requests <= requests - exposure.requests_before, || {
+            format!("{requests}, {exposure:?}, {after:?}")
+        });
         #[allow(clippy::cast_precision_loss)]
         let is_within = after.granted as f64 <= bounds().share * after.requests as f64 + bounds().slack;
         self.check(is_within, || format!("more is set aside than may be given: {after:?}"));
@@ -210,12 +212,12 @@
         let is_back = after.order < before.order;
         self.check(!is_back, || format!("an older order follows: {before:?}, {after:?}"));
         if before.target == after.target {
-            // What a version that was rolled back didn't get, of requests of before, it doesn't get when it is ordered again.
+            // A version that was rolled back and is ordered again doesn't get the unused budget of earlier requests.
             let is_again = after.order > before.order && matches!(before.stage, Stage::RolledBack(_));
             #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-            let behind = (before.granted as f64 / bounds().share).ceil() as u64;
-            let least = if is_again { before.requests.min(behind) } else { before.requests };
-            let is_less = after.granted < before.granted || after.requests < least;
+            let backing = (before.granted as f64 / bounds().share).ceil() as u64;
+            let min_requests = if is_again { before.requests.min(backing) } else { before.requests };
+            let is_less = after.granted < before.granted || after.requests < min_requests;
             self.check(!is_less, || format!("counts go back: {before:?}, {after:?}"));
         }
         if before.order == after.order {
@@ -227,36 +229,36 @@
         }
     }
 
-    fn answer(&mut self, who: usize, how: u8) {
-        if self.routers[who].is_frozen {
+    fn answer_write(&mut self, index: usize, choice: u8) {
+        if self.routers[index].is_frozen {
             return;
         }
-        let Some(write) = self.routers[who].in_flight.take() else { return };
-        let written = match how % 16 {
+        let Some(write) = self.routers[index].in_flight.take() else { return };
+        let written = match choice % 16 {
             0..=8 => self.store_write(&write),
             9 | 10 => {
                 self.store_write(&write);
                 Written::Unknown
             }
             11 | 12 => {
-                self.late.push(write);
+                self.delayed.push(write);
                 Written::Unknown
             }
             13 => Written::Unknown,
             14 => Written::Refused,
             _ => {
-                // Handed on, and done twice.
+                // The write is forwarded, and executed twice.
                 self.store_write(&write);
                 self.store_write(&write)
             }
         };
-        let router = &mut self.routers[who];
+        let router = &mut self.routers[index];
         let local = router.local(self.now);
-        router.steward.written(local, written);
+        router.controller.written(local, written);
     }
 
-    fn learn(&mut self, who: usize) {
-        let router = &mut self.routers[who];
+    fn update_copy(&mut self, index: usize) {
+        let router = &mut self.routers[index];
         if router.is_frozen {
             return;
         }
@@ -265,71 +267,72 @@
         let order = router.order.as_ref().map(|(revision, order)| (*revision, order));
         let record = router.record.as_ref().map(|(revision, record)| (*revision, record));
         let local = router.local(self.now);
-        router.steward.learn(local, order, record);
+        router.controller.learn(local, order, record);
     }
 
-    /// A pool gives some of what was reserved.
-    fn give(&mut self, who: usize, most: u64) {
-        let router = &mut self.routers[who];
+    /// Lets a pool give out some of the reserved requests.
+    fn give_requests(&mut self, index: usize, max: u64) {
+        let router = &mut self.routers[index];
         let local = router.local(self.now);
         let Some(policy) = router.policy() else { return };
         let Some((reservation, target, order)) = &mut router.reservation else { return };
         if policy.stage != Stage::Trial || policy.target != *target || local >= reservation.until {
             return;
         }
-        let given = u32::try_from(most).unwrap().min(reservation.requests);
+        let given = u32::try_from(max).unwrap().min(reservation.requests);
         reservation.requests -= given;
         if given == 0 {
             return;
         }
         let (name, now) = (router.name.clone(), self.now);
-        let account = &mut self.accounts[self.account_of[order]];
-        account.given += u64::from(given);
-        let (account, requests) = (account.clone(), self.requests);
+        let exposure = &mut self.exposures[self.exposure_of[order]];
+        exposure.new_requests += u64::from(given);
+        let (exposure, requests) = (exposure.clone(), self.requests);
         #[allow(clippy::cast_precision_loss)]
-        let is_within = account.given as f64 <= bounds().share * (requests - account.before) as f64 + bounds().slack;
-        self.check(is_within, || format!("{name} gave {given} at {now}: {account:?} of {requests}"));
-        let is_in_time = account.ended.is_none_or(|ended| now.since(ended) < VALID);
-        self.check(is_in_time, || format!("{name} gave {given} at {now}: {account:?}"));
+        let is_within = exposure.new_requests as f64
+            <= bounds().share * (requests - exposure.requests_before) as f64 + bounds().slack;
+        self.check(is_within, || format!("{name} gave {given} at {now}: {exposure:?} of {requests}"));
+        let is_in_time = exposure.ended.is_none_or(|ended| now.since(ended) < RESERVATION_TTL);
+        self.check(is_in_time, || format!("{name} gave {given} at {now}: {exposure:?}"));
     }
 
-    /// A router takes itself for the home, or no longer.
-    fn turn(&mut self, who: usize) {
-        let router = &mut self.routers[who];
+    /// Lets a router become home, or cease to be.
+    fn toggle_home(&mut self, index: usize) {
+        let router = &mut self.routers[index];
         if router.is_frozen {
             return;
         }
         router.is_home = !router.is_home;
         if !router.is_home {
-            router.steward.rest();
+            router.controller.rest();
             router.reservation = None;
-            router.follow = None;
+            router.policy_override = None;
         }
     }
 
-    fn do_late(&mut self, how: u8) {
-        if !self.late.is_empty() {
-            let write = self.late.remove(usize::from(how) % self.late.len());
+    fn execute_delayed(&mut self, choice: u8) {
+        if !self.delayed.is_empty() {
+            let write = self.delayed.remove(usize::from(choice) % self.delayed.len());
             self.store_write(&write);
         }
     }
 
-    /// A router is killed and starts anew; what it sent may still be done.
-    fn kill(&mut self, who: usize, how: u8) {
-        if let Some(write) = self.routers[who].in_flight.take() {
-            match how % 3 {
+    /// Kills a router and starts it anew. Its write in flight may still be executed.
+    fn kill(&mut self, index: usize, choice: u8) {
+        if let Some(write) = self.routers[index].in_flight.take() {
+            match choice % 3 {
                 0 => {
                     self.store_write(&write);
                 }
-                1 => self.late.push(write),
+                1 => self.delayed.push(write),
                 _ => {}
             }
         }
-        self.routers[who] = Router::new(who, self.now);
+        self.routers[index] = Router::new(index, self.now);
     }
 
-    fn order(&mut self, how: u8) {
-        let target = match how % 12 {
+    fn order(&mut self, choice: u8) {
+        let target = match choice % 12 {
             0..=5 => "v2",
             6 => "v3",
             7 => "v1",
@@ -339,41 +342,41 @@
             }
             _ => return,
         };
-        // What is wanted isn't ordered again and again, or nothing would ever come to its end.
-        if how % 12 < 5 && self.store.order.as_ref().is_some_and(|(_, order)| order.target == version("v2")) {
+        // The wanted version isn't ordered again and again, or no roll-out would ever end.
+        if choice % 12 < 5 && self.store.order.as_ref().is_some_and(|(_, order)| order.target == version("v2")) {
             return;
         }
         let target = order(target, 12.0);
         self.store.order(Some(target));
-        self.at_order.insert(self.store.revision, self.requests);
+        self.requests_at_order.insert(self.store.revision, self.requests);
     }
 
-    fn rare(&mut self, who: usize, how: u8) {
-        match how % 16 {
-            // A peer's verdict on the newest order.
+    fn rare_event(&mut self, index: usize, choice: u8) {
+        match choice % 16 {
+            // A peer's verdict on the newest order arrives.
             0 | 1 => {
                 if let Some((revision, _)) = &self.store.order {
-                    self.routers[who].steward.condemned(*revision);
+                    self.routers[index].controller.condemned(*revision);
                 }
             }
-            // Everything stands still for some seconds.
-            2..=7 => self.now = self.now + Duration::from_millis(u64::from(how / 16) * 250),
-            8..=11 => self.routers[who].is_frozen = !self.routers[who].is_frozen,
+            // All routers stand still for some seconds.
+            2..=7 => self.now = self.now + Duration::from_millis(u64::from(choice / 16) * 250),
+            8..=11 => self.routers[index].is_frozen = !self.routers[index].is_frozen,
             _ => {}
         }
     }
 }
 
-fn play(events: &[(u8, u8, u8)]) -> World {
+fn run_events(events: &[(u8, u8, u8)]) -> World {
     let mut world = World::new();
     world.order(0);
-    for who in 0..2 {
-        world.learn(who);
-        world.turn(who);
+    for index in 0..2 {
+        world.update_copy(index);
+        world.toggle_home(index);
     }
     for event in events {
         world.step(*event);
-        if world.fault.is_some() {
+        if world.violation.is_some() {
             break;
         }
     }
@@ -383,9 +386,9 @@
 #[test]
 fn the_bound_the_stages_and_the_counts_hold_in_any_order_of_events() {
     fn holds(events: Vec<(u8, u8, u8)>) -> TestResult {
-        match play(&events).fault {
+        match run_events(&events).violation {
             None => TestResult::passed(),
-            Some(fault) => TestResult::error(fault),
+            Some(violation) => TestResult::error(violation),
         }
     }
     QuickCheck::new()
@@ -395,21 +398,21 @@
         .quickcheck(holds as fn(Vec<(u8, u8, u8)>) -> TestResult);
 }
 
-/// Without it the property above could hold because nothing is ever given.
+/// Guards the property above against holding only because nothing is ever given.
 #[test]
-fn much_happens_in_those_orders_of_events() {
-    let mut dice = world::Dice::new(1);
+fn random_events_reach_every_stage() {
+    let mut rng = world::TestRng::new(1);
     let (mut given, mut stages) = (0, BTreeMap::<String, u32>::new());
     for _ in 0..300 {
         let events: Vec<_> = (0..1_200)
             .map(|_| {
-                let [what, who, how, ..] = dice.next().to_le_bytes();
-                (what, who, how)
+                let [action, index, choice, ..] = rng.next().to_le_bytes();
+                (action, index, choice)
             })
             .collect();
-        let world = play(&events);
-        assert_eq!(world.fault, None);
-        given += world.accounts.iter().map(|account| account.given).sum::<u64>();
+        let world = run_events(&events);
+        assert_eq!(world.violation, None);
+        given += world.exposures.iter().map(|exposure| exposure.new_requests).sum::<u64>();
         for record in &world.store.history {
             *stages.entry(format!("{:?}", record.stage)).or_default() += 1;
         }
--- a/crates/stairvale-rollout/tests/judges.rs
+++ b/crates/stairvale-rollout/tests/judges.rs
@@ -1,7 +1,7 @@
-//! Two judges on the same seeded histories: the one that decides, and a bound on counts beside it.
+//! Compares two judges on the same seeded histories: the one that decides roll-outs, and a bound on counts.
 //!
-//! A history is a service's answers over a trial and the move after it, with a trouble that hits both versions alike or
-//! single upstreams, or with a version that is bad. `cargo test -p stairvale-rollout --test judges -- --nocapture` prints
+//! A history is a service's answers during a trial and the move after it, with a fault that affects both versions or
+//! single upstreams, or with a failing version. `cargo test -p stairvale-rollout --test judges -- --nocapture` prints
 //! the comparison.
 
 #![allow(clippy::unwrap_used, clippy::print_stdout, clippy::cast_precision_loss)]
@@ -15,86 +15,88 @@
 
 use stairvale_rollout::{Answer, Judge, Observation};
 use stairvale_types::{Moment, id};
-use world::{Dice, Route, TICK, upstream};
+use world::{Route, TICK, TestRng, upstream};
 
-/// What judges have in common.
-trait Judging: Default {
+/// The interface that the compared judges share.
+trait CanaryJudge: Default {
     fn observe(&mut self, now: Moment, observation: &Observation);
-    fn is_bad(&mut self, now: Moment) -> bool;
-    /// Whether it asks for other upstreams to be tried, too.
-    fn suspects(&self) -> bool;
+    fn rejects(&mut self, now: Moment) -> bool;
+    /// Whether the judge requests that other upstreams be tried as well.
+    fn is_suspected(&self) -> bool;
 }
 
-impl Judging for Judge {
+impl CanaryJudge for Judge {
     fn observe(&mut self, now: Moment, observation: &Observation) {
         self.observe(now, observation);
     }
 
-    fn is_bad(&mut self, now: Moment) -> bool {
-        self.settle(now);
+    fn rejects(&mut self, now: Moment) -> bool {
+        self.weigh_due(now);
         self.verdict(now).is_some()
     }
 
-    fn suspects(&self) -> bool {
-        self.suspects()
+    fn is_suspected(&self) -> bool {
+        self.is_suspected()
     }
 }
 
 // --------------------------------------------------------------------------------------------------------------------
-// A bound on counts: the difference of two shares, with its standard error
+// A bound on counts: the difference of two shares, compared with its standard error
 
-/// Standard errors by which the new version's share of bad answers must be higher...
-const ERRORS: f64 = 3.0;
-/// ... beyond this much.
-const MARGIN: f64 = 0.03;
-/// Half-life of the counts, in seconds: with a longer one a version that turns bad late is found late.
-const HALF: f64 = 4.0;
+/// Number of standard errors by which the new version's share of bad answers must exceed the old one's, beyond
+/// [`MIN_DIFFERENCE`].
+const MIN_STANDARD_ERRORS: f64 = 3.0;
+/// Difference of the two shares that is tolerated in any case.
+const MIN_DIFFERENCE: f64 = 0.03;
+/// Half-life of the counts, in seconds. With a longer one, a version that begins to fail late is found late.
+const HALF_LIFE_SECONDS: f64 = 4.0;
 
 #[derive(Clone, Copy, Default)]
-struct Fading {
+struct DecayingCounts {
     answers: f64,
     bad: f64,
 }
 
 #[derive(Default)]
 struct CountsJudge {
-    faded: Moment,
-    old: BTreeMap<id::Route, Fading>,
-    new: BTreeMap<(id::Route, id::Upstream), Fading>,
+    decayed_at: Moment,
+    old: BTreeMap<id::Route, DecayingCounts>,
+    new: BTreeMap<(id::Route, id::Upstream), DecayingCounts>,
 }
 
 impl CountsJudge {
-    fn fade(&mut self, now: Moment) {
-        let kept = (-now.since(self.faded).as_secs_f64() / HALF).exp2();
-        self.faded = now;
+    fn decay(&mut self, now: Moment) {
+        let factor = (-now.since(self.decayed_at).as_secs_f64() / HALF_LIFE_SECONDS).exp2();
+        self.decayed_at = now;
         for counts in self.old.values_mut().chain(self.new.values_mut()) {
-            counts.answers *= kept;
-            counts.bad *= kept;
+            counts.answers *= factor;
+            counts.bad *= factor;
         }
     }
 
-    /// Whether a route is bad at the new version, without one upstream.
+    /// Whether the new version is failing on a route, leaving out one upstream if given.
     fn is_route_bad(&self, route: id::Route, without: Option<&id::Upstream>) -> bool {
         let old = self.old.get(&route).copied().unwrap_or_default();
         let new = self.new.iter().filter(|((of, at), _)| *of == route && Some(at) != without);
-        let new = new.fold(Fading::default(), |sum, (_, counts)| Fading {
+        let new = new.fold(DecayingCounts::default(), |sum, (_, counts)| DecayingCounts {
             answers: sum.answers + counts.answers,
             bad: sum.bad + counts.bad,
         });
         if new.bad < 4.0 || old.answers < 15.0 {
             return false;
         }
-        // Agresti and Caffo, 2000: one good and one bad answer more on each side keep the error from being none.
-        let share = |counts: Fading| (counts.bad + 1.0) / (counts.answers + 2.0);
-        let error = |counts: Fading| share(counts) * (1.0 - share(counts)) / (counts.answers + 2.0);
-        share(new) - share(old) > MARGIN + ERRORS * (error(old) + error(new)).sqrt()
+        // One added good and one added bad answer on each side keep the standard error above zero (Agresti and Caffo,
+        // 2000).
+        let share = |counts: DecayingCounts| (counts.bad + 1.0) / (counts.answers + 2.0);
+        let error = |counts: DecayingCounts| share(counts) * (1.0 - share(counts)) / (counts.answers + 2.0);
+        share(new) - share(old) > MIN_DIFFERENCE + MIN_STANDARD_ERRORS * (error(old) + error(new)).sqrt()
     }
 }
 
-impl Judging for CountsJudge {
+impl CanaryJudge for CountsJudge {
     fn observe(&mut self, now: Moment, observation: &Observation) {
-        if now > self.faded {
-            self.fade(now);
+        if now > self.decayed_at {
+            self.decay(now);
         }
         let counts = if observation.is_new {
             self.new.entry((observation.route, observation.upstream.clone())).or_default()
@@ -105,7 +107,7 @@
         counts.bad += f64::from(u8::from(observation.answer != Answer::Good));
     }
 
-    fn is_bad(&mut self, _now: Moment) -> bool {
+    fn rejects(&mut self, _now: Moment) -> bool {
         self.old.keys().any(|route| {
             let tried: BTreeSet<_> = self.new.keys().filter(|(of, _)| of == route).map(|(_, at)| at).collect();
             tried.len() > 1
@@ -114,7 +116,7 @@
         })
     }
 
-    fn suspects(&self) -> bool {
+    fn is_suspected(&self) -> bool {
         self.old.keys().any(|route| self.is_route_bad(*route, None))
     }
 }
@@ -122,22 +124,22 @@
 // --------------------------------------------------------------------------------------------------------------------
 // Histories
 
-/// What happens.
+/// What happens in a history.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Case {
-    Calm,
-    /// A third of the upstreams of both versions can't be reached for three seconds.
+    Steady,
+    /// A third of the upstreams of both versions can't be reached for 3 s.
     CutZone,
-    /// Everything is slow for three seconds, four answers in ten.
+    /// Four answers in ten are slow at both versions for 3 s.
     Burst,
-    /// A quarter of the upstreams of both versions crash: each fails a few requests and gets no more.
+    /// A quarter of the upstreams of both versions crash. Each of them fails a few requests and then gets no more.
     Crash,
-    /// One upstream in twenty, or one, fails half of its requests.
-    Grey,
-    /// One upstream of the new version fails everything in every second second.
-    Flap,
+    /// One upstream in twenty, and at least one, fails half of its requests.
+    GrayFailure,
+    /// One upstream of the new version fails all its requests during every other second.
+    Flapping,
     /// Each upstream of the new version is slow in its first answers.
-    Cold,
+    ColdStart,
     HalfFailing,
     TenthFailing,
     Slow,
@@ -146,132 +148,137 @@
     UnderLoad,
 }
 
-const GOOD: [Case; 7] = [Case::Calm, Case::CutZone, Case::Burst, Case::Crash, Case::Grey, Case::Flap, Case::Cold];
-const BAD: [Case; 6] = [Case::HalfFailing, Case::TenthFailing, Case::Slow, Case::Late, Case::OneRoute, Case::UnderLoad];
+const HEALTHY_CASES: [Case; 7] =
+    [Case::Steady, Case::CutZone, Case::Burst, Case::Crash, Case::GrayFailure, Case::Flapping, Case::ColdStart];
+const FAILING_CASES: [Case; 6] =
+    [Case::HalfFailing, Case::TenthFailing, Case::Slow, Case::Late, Case::OneRoute, Case::UnderLoad];
 
-/// A service: upstreams of each version, its routes, and how a trial is spread.
-struct Site {
+/// A service: the number of upstreams of each version, its routes, and the reservations of a trial.
+struct Service {
     name: &'static str,
     upstreams: usize,
     routes: Vec<Route>,
-    /// Requests of a spell, upstreams that it goes to, seconds between spells.
-    spell: (u32, usize, f64),
+    /// Requests per reservation, upstreams that they go to, and seconds between reservations.
+    reservation: (u32, usize, f64),
 }
 
-fn sites() -> Vec<Site> {
+fn services() -> Vec<Service> {
     let route = |name, rate, failing| Route { name, rate, failing, is_repeatable: true };
     vec![
-        Site {
+        Service {
             name: "60 engines",
             upstreams: 60,
             routes: vec![route("digest", 65.6, 0.005), route("draft", 145.0, 0.005), route("note", 67.9, 0.005)],
-            spell: (22, 5, 1.0),
+            reservation: (22, 5, 1.0),
         },
-        Site {
+        Service {
             name: "3 plain",
             upstreams: 3,
             routes: vec![route("post", 94.1, 0.14), route("read", 21.7, 0.005)],
-            spell: (20, 1, 2.0),
+            reservation: (20, 1, 2.0),
         },
-        Site {
+        Service {
             name: "12 of 4 routes",
             upstreams: 12,
             routes: vec![route("a", 40.0, 0.01), route("b", 30.0, 0.01), route("c", 5.0, 0.01), route("d", 20.0, 0.05)],
-            spell: (12, 1, 1.0),
+            reservation: (12, 1, 1.0),
         },
     ]
 }
 
 struct History<'a> {
-    site: &'a Site,
+    service: &'a Service,
     case: Case,
-    dice: Dice,
-    /// When the trouble begins, and which upstreams it hits, of 0 to twice the upstreams: the new version's come first.
+    rng: TestRng,
+    /// When the fault begins. The next field holds the upstreams that it affects; those of the new version are numbered
+    /// first, then those of the old one.
     start: f64,
-    hit: BTreeSet<usize>,
+    affected: BTreeSet<usize>,
     served: BTreeMap<usize, u32>,
     failed: BTreeMap<usize, u32>,
 }
 
-/// What became of a history.
+/// The outcome of a history.
 #[derive(Default)]
 struct Outcome {
     bad_at_verdict: Option<u32>,
-    /// Seconds from the first bad answer to the verdict.
+    /// Time from the first bad answer to the verdict, in seconds.
     time: f64,
 }
 
 impl<'a> History<'a> {
-    fn new(site: &'a Site, case: Case, seed: u64) -> Self {
-        let mut dice = Dice::new(seed);
-        let all = 2 * site.upstreams;
-        let start = 1.0 + 8.0 * dice.share();
-        let mut hit = BTreeSet::new();
+    fn new(service: &'a Service, case: Case, seed: u64) -> Self {
+        let mut rng = TestRng::new(seed);
+        let all = 2 * service.upstreams;
+        let start = 1.0 + 8.0 * rng.fraction();
+        let mut affected = BTreeSet::new();
         match case {
-            Case::CutZone => hit.extend((0..all).filter(|number| number % 3 == 1)),
+            Case::CutZone => affected.extend((0..all).filter(|number| number % 3 == 1)),
             Case::Crash => {
-                for side in [0, site.upstreams] {
+                for side in [0, service.upstreams] {
                     let mut crashed = BTreeSet::new();
-                    while 4 * crashed.len() < site.upstreams {
-                        crashed.insert(side + dice.below(site.upstreams));
+                    while 4 * crashed.len() < service.upstreams {
+                        crashed.insert(side + rng.below(service.upstreams));
                     }
-                    hit.extend(crashed);
+                    affected.extend(crashed);
                 }
             }
-            Case::Grey => hit.extend((0..(all / 20).max(1)).map(|_| dice.below(all))),
-            Case::Flap => {
-                hit.insert(dice.below(site.upstreams));
+            Case::GrayFailure => affected.extend((0..(all / 20).max(1)).map(|_| rng.below(all))),
+            Case::Flapping => {
+                affected.insert(rng.below(service.upstreams));
             }
-            Case::Calm | Case::Burst | Case::Cold => {}
+            Case::Steady | Case::Burst | Case::ColdStart => {}
             Case::HalfFailing | Case::TenthFailing | Case::Slow | Case::Late | Case::OneRoute | Case::UnderLoad => {}
         }
-        Self { site, case, dice, start, hit, served: BTreeMap::new(), failed: BTreeMap::new() }
+        Self { service, case, rng, start, affected, served: BTreeMap::new(), failed: BTreeMap::new() }
     }
 
-    /// What an upstream answers, and whether that is the case's doing and not the route's.
+    /// An upstream's answer, and whether a bad one is due to the case rather than usual on the route.
     fn answer(&mut self, at: f64, route: &Route, number: usize, is_loaded: bool) -> (Answer, bool) {
-        let is_new = number < self.site.upstreams;
+        let is_new = number < self.service.upstreams;
         let served = self.served.entry(number).or_default();
         *served += 1;
         let served = *served;
-        let is_hit = self.hit.contains(&number);
-        let lasts = at >= self.start && at < self.start + 3.0;
-        let dice = &mut self.dice;
+        let is_affected = self.affected.contains(&number);
+        let is_ongoing = at >= self.start && at < self.start + 3.0;
+        let rng = &mut self.rng;
         let (failing, slow) = match self.case {
-            Case::Calm => (0.0, 0.0),
-            Case::CutZone if lasts && is_hit => (0.9, 0.0),
-            Case::Burst if lasts => (0.05, 0.4),
-            Case::Crash if at >= self.start && is_hit => (1.0, 0.0),
-            Case::Grey if is_hit => (0.5, 0.0),
-            Case::Flap if is_hit && at % 2.0 < 1.0 => (1.0, 0.0),
-            Case::Cold if is_new && served <= 2 => (0.0, 0.9),
-            Case::CutZone | Case::Burst | Case::Crash | Case::Grey | Case::Flap | Case::Cold => (0.0, 0.0),
+            Case::Steady => (0.0, 0.0),
+            Case::CutZone if is_ongoing && is_affected => (0.9, 0.0),
+            Case::Burst if is_ongoing => (0.05, 0.4),
+            Case::Crash if at >= self.start && is_affected => (1.0, 0.0),
+            Case::GrayFailure if is_affected => (0.5, 0.0),
+            Case::Flapping if is_affected && at % 2.0 < 1.0 => (1.0, 0.0),
+            Case::ColdStart if is_new && served <= 2 => (0.0, 0.9),
+            Case::CutZone | Case::Burst | Case::Crash | Case::GrayFailure | Case::Flapping | Case::ColdStart => {
+                (0.0, 0.0)
+            }
             Case::HalfFailing if is_new => (0.5, 0.0),
             Case::TenthFailing if is_new => (0.1, 0.0),
             Case::Slow if is_new => (0.0, 0.5),
             Case::Late if is_new && at > 5.0 => (0.5, 0.0),
-            Case::OneRoute if is_new && route.name == self.site.routes[0].name => (0.5, 0.0),
+            Case::OneRoute if is_new && route.name == self.service.routes[0].name => (0.5, 0.0),
             Case::UnderLoad if is_new && is_loaded => (0.5, 0.0),
             Case::HalfFailing | Case::TenthFailing | Case::Slow => (0.0, 0.0),
             Case::Late | Case::OneRoute | Case::UnderLoad => (0.0, 0.0),
         };
-        if dice.hits(failing) {
+        if rng.chance(failing) {
             (Answer::Failed, true)
-        } else if dice.hits(route.failing) {
+        } else if rng.chance(route.failing) {
             (Answer::Failed, false)
-        } else if dice.hits(slow) {
+        } else if rng.chance(slow) {
             (Answer::Slow, true)
         } else {
             (Answer::Good, false)
         }
     }
 
-    /// One of these upstreams, of so many from a first one on. The pool leaves those that crashed, a second or three requests
-    /// after, and takes another one of the same version.
+    /// Picks one of the upstreams in `among`. When an upstream has crashed, the pool stops using it after 1 s or three
+    /// failed requests, and picks another upstream of the same version, whose numbers start at `from`.
     fn pick(&mut self, among: &[usize], from: usize, at: f64) -> usize {
-        let mut number = among[self.dice.below(among.len())];
+        let mut number = among[self.rng.below(among.len())];
         for _ in 0..100 {
-            if self.case != Case::Crash || at < self.start || !self.hit.contains(&number) {
+            if self.case != Case::Crash || at < self.start || !self.affected.contains(&number) {
                 break;
             }
             let failed = self.failed.entry(number).or_default();
@@ -279,50 +286,55 @@
                 *failed += 1;
                 break;
             }
-            number = from + self.dice.below(self.site.upstreams);
+            number = from + self.rng.below(self.service.upstreams);
         }
         number
     }
 
-    /// Plays it: ten seconds of trial, a rehearsal, and four seconds in which the fleet moves.
-    fn play<J: Judging>(mut self) -> Outcome {
+    /// Runs the history: ten seconds of trial, a rehearsal, and four seconds in which the fleet moves.
+    fn run<J: CanaryJudge>(mut self) -> Outcome {
         let mut judge = J::default();
         let mut outcome = Outcome::default();
-        let total: f64 = self.site.routes.iter().map(|route| route.rate).sum();
-        let (size, over, every) = self.site.spell;
-        let upstreams = self.site.upstreams;
+        let total: f64 = self.service.routes.iter().map(|route| route.rate).sum();
+        let (size, trial_upstreams, interval) = self.service.reservation;
+        let upstreams = self.service.upstreams;
         let (mut bad, mut first_bad) = (0, None);
-        let (mut left, mut spell, mut due, mut first, mut due_at) = (0.0, 0, over, 0, 0.5);
+        let (mut request_credit, mut reserved, mut tried, mut first, mut next_reservation_at) =
+            (0.0, 0, trial_upstreams, 0, 0.5);
         let mut now = Moment::from_millis(1_000);
         let begin = now;
         while now.since(begin) < Duration::from_secs(15) {
             now = now + TICK;
             let at = now.since(begin).as_secs_f64();
             let is_moving = at > 11.0;
-            if at >= due_at {
-                due_at += every;
+            if at >= next_reservation_at {
+                next_reservation_at += interval;
                 let is_rehearsal = at > 9.5;
-                spell = if is_rehearsal {
+                reserved = if is_rehearsal {
                     2 * size
                 } else if at < 1.0 {
                     size.min(10)
                 } else {
                     size
                 };
-                due = if is_rehearsal { upstreams } else { over.max(if judge.suspects() { 3 } else { 1 }) };
-                first = self.dice.below(upstreams);
+                tried = if is_rehearsal {
+                    upstreams
+                } else {
+                    trial_upstreams.max(if judge.is_suspected() { 3 } else { 1 })
+                };
+                first = self.rng.below(upstreams);
             }
-            left += total * TICK.as_secs_f64();
+            request_credit += total * TICK.as_secs_f64();
             let mut observations = Vec::new();
-            while left >= 1.0 {
-                left -= 1.0;
+            while request_credit >= 1.0 {
+                request_credit -= 1.0;
                 let route = self.route(total);
-                let goes = spell > 0 && self.dice.hits(due as f64 / (due + upstreams) as f64);
-                // While the fleet moves, the old upstreams get a few requests that find no room.
-                let is_new = if is_moving { !self.dice.hits(0.02) } else { goes };
+                let is_trial_request = reserved > 0 && self.rng.chance(tried as f64 / (tried + upstreams) as f64);
+                // While the fleet moves, the old upstreams get the few requests that find no room elsewhere.
+                let is_new = if is_moving { !self.rng.chance(0.02) } else { is_trial_request };
                 let among: Vec<usize> = if is_new && !is_moving {
-                    spell -= 1;
-                    (0..due).map(|number| (first + number) % upstreams).collect()
+                    reserved -= 1;
+                    (0..tried).map(|number| (first + number) % upstreams).collect()
                 } else if is_new {
                     (0..upstreams).collect()
                 } else {
@@ -341,7 +353,7 @@
             for observation in &observations {
                 judge.observe(now, observation);
             }
-            if judge.is_bad(now) {
+            if judge.rejects(now) {
                 outcome.bad_at_verdict = Some(bad);
                 outcome.time = at - first_bad.unwrap_or(at);
                 return outcome;
@@ -351,35 +363,36 @@
     }
 
     fn route(&mut self, total: f64) -> Route {
-        let mut at = self.dice.share() * total;
-        for route in &self.site.routes {
+        let mut at = self.rng.fraction() * total;
+        for route in &self.service.routes {
             if at < route.rate {
                 return *route;
             }
             at -= route.rate;
         }
-        self.site.routes[0]
+        self.service.routes[0]
     }
 }
 
-/// Histories of each case: wrongly rolled back, or missed, found after more than 25 bad answers, the most, the mean, and the
-/// mean time in seconds.
+/// Results over all seeds of a case: how many histories ended in a verdict (a false alarm for a healthy version), how
+/// many of those after more than 25 bad answers, the maximum and mean number of bad answers, and the mean time in
+/// seconds.
 struct Row {
     found: u32,
     late: u32,
-    most: u32,
+    max_bad: u32,
     mean: f64,
     time: f64,
 }
 
-fn judge<J: Judging>(site: &Site, case: Case, seeds: std::ops::Range<u64>) -> Row {
-    let mut row = Row { found: 0, late: 0, most: 0, mean: 0.0, time: 0.0 };
+fn judge<J: CanaryJudge>(service: &Service, case: Case, seeds: std::ops::Range<u64>) -> Row {
+    let mut row = Row { found: 0, late: 0, max_bad: 0, mean: 0.0, time: 0.0 };
     for seed in seeds {
-        let outcome = History::new(site, case, seed).play::<J>();
+        let outcome = History::new(service, case, seed).run::<J>();
         if let Some(bad) = outcome.bad_at_verdict {
             row.found += 1;
             row.late += u32::from(bad > 25);
-            row.most = row.most.max(bad);
+            row.max_bad = row.max_bad.max(bad);
             row.mean += f64::from(bad);
             row.time += outcome.time;
         }
@@ -390,28 +403,32 @@
 
 const SEEDS: u64 = 200;
 
-/// A tenth more of failures isn't told from chance within a small service's trial, some 140 answers, where its routes fail by
-/// themselves; all else is found.
-fn may_be_missed(site: &Site, case: Case) -> bool {
-    case == Case::TenthFailing && site.upstreams < 60
+/// Whether a failing version may be missed. A tenth more of failures isn't distinguishable from chance within a small
+/// service's trial of about 140 answers, where routes fail at a healthy version as well. Every other fault must be
+/// found.
+fn may_be_missed(service: &Service, case: Case) -> bool {
+    case == Case::TenthFailing && service.upstreams < 60
 }
 
 #[test]
-fn the_sequential_test_finds_more_and_is_wrong_less_than_the_bound_on_counts() {
+fn the_sequential_test_finds_more_bad_versions_with_fewer_false_alarms_than_the_bound_on_counts() {
     println!("of {SEEDS}: found (over 25 bad answers: of these), most and mean bad answers, mean seconds");
     println!("{:<16}{:<14}{:>34}{:>34}", "", "", "sequential", "counts");
     let (mut wrong, mut missed, mut late) = ([0, 0], [0, 0], [0, 0]);
     let mut faults = Vec::new();
-    for site in &sites() {
-        for case in GOOD.into_iter().chain(BAD) {
-            let rows = [judge::<Judge>(site, case, 0..SEEDS), judge::<CountsJudge>(site, case, 0..SEEDS)];
+    for service in &services() {
+        for case in HEALTHY_CASES.into_iter().chain(FAILING_CASES) {
+            let rows = [judge::<Judge>(service, case, 0..SEEDS), judge::<CountsJudge>(service, case, 0..SEEDS)];
             let texts = rows.each_ref().map(|row| {
-                format!("{:>4} ({:>3}), {:>4}, {:>6.1}, {:>5.2} s", row.found, row.late, row.most, row.mean, row.time)
+                format!(
+                    "{:>4} ({:>3}), {:>4}, {:>6.1}, {:>5.2} s",
+                    row.found, row.late, row.max_bad, row.mean, row.time
+                )
             });
-            println!("{:<16}{:<14}{:>34}{:>34}", site.name, format!("{case:?}"), texts[0], texts[1]);
-            let is_good = GOOD.contains(&case);
+            println!("{:<16}{:<14}{:>34}{:>34}", service.name, format!("{case:?}"), texts[0], texts[1]);
+            let is_healthy = HEALTHY_CASES.contains(&case);
             for (judge, row) in rows.iter().enumerate() {
-                if is_good {
+                if is_healthy {
                     wrong[judge] += row.found;
                 } else {
                     missed[judge] += u32::try_from(SEEDS).unwrap() - row.found;
@@ -419,15 +436,17 @@
                 }
             }
             let [row, _] = rows;
-            let is_missed = !is_good && u64::from(row.found) < SEEDS && !may_be_missed(site, case);
-            // With three upstreams, of which the worst is left out, the others' bad answers come later.
-            let is_late = !is_good && row.late > 0 && site.upstreams > 3 && case != Case::TenthFailing;
-            if is_good && row.found > 0 || is_missed || is_late {
-                faults.push(format!("{} {case:?}: {} found, {} late", site.name, row.found, row.late));
+            let is_missed = !is_healthy && u64::from(row.found) < SEEDS && !may_be_missed(service, case);
+            // With three upstreams, of which the worst is left out, enough bad answers of the others arrive later.
+            let is_late = !is_healthy && row.late > 0 && service.upstreams > 3 && case != Case::TenthFailing;
+            if is_healthy && row.found > 0 || is_missed || is_late {
+                faults.push(format!("{} {case:?}: {} found, {} late", service.name, row.found, row.late));
             }
         }
     }
-    println!("good ones rolled back {wrong:?}, bad ones missed {missed:?}, found after the 25th bad answer {late:?}");
+    println!(
+        "healthy ones rolled back {wrong:?}, failing ones missed {missed:?}, found after the 25th bad answer {late:?}"
+    );
     assert!(faults.is_empty(), "{faults:#?}");
     for counts in [wrong, missed, late] {
         assert!(counts[0] < counts[1], "{counts:?}");
--- a/crates/stairvale-rollout/tests/outcomes.rs
+++ b/crates/stairvale-rollout/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! The outcomes that docs/design/rollouts.md defines, one test each.
+//! The outcomes that docs/design/rollouts.md defines, with one test for each.
 
 #![allow(clippy::unwrap_used, clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 
@@ -8,7 +8,7 @@
 
 use stairvale_rollout::{Admission, Answer, Bounds, Cause, Facts, Policy, Stage, Step, Steward, Written};
 use stairvale_types::Moment;
-use world::{Dice, Route, Service, TICK, bounds, good, order, version};
+use world::{Route, Service, TICK, TestRng, bounds, healthy, order, version};
 
 fn routes() -> Vec<Route> {
     vec![
@@ -18,11 +18,11 @@
 }
 
 fn service() -> Service {
-    Service::new(6, 6, routes(), good, 7)
+    Service::new(6, 6, routes(), healthy, 7)
 }
 
-fn failing(dice: &mut Dice, _: &Route, _: Duration, _: bool) -> Answer {
-    if dice.hits(0.6) { Answer::Failed } else { Answer::Good }
+fn failing(rng: &mut TestRng, _: &Route, _: Duration, _: bool) -> Answer {
+    if rng.chance(0.6) { Answer::Failed } else { Answer::Good }
 }
 
 fn record(service: &Service) -> &stairvale_rollout::Record {
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn without_an_order_nothing_is_written_and_nothing_given() {
+fn without_an_order_nothing_is_written_or_issued() {
     let mut service = service();
     service.run(5.0);
     assert_eq!(service.store.record, None);
-    assert_eq!((service.given, service.policy()), (0, None));
+    assert_eq!((service.new_requests, service.policy()), (0, None));
 }
 
 #[test]
-fn the_same_order_again_goes_on_with_the_same_account_and_the_new_deadline() {
+fn the_same_order_again_keeps_the_budget_and_takes_the_new_deadline() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(5.0);
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn another_version_ordered_in_the_middle_starts_with_an_account_of_its_own() {
+fn another_version_ordered_during_a_trial_starts_with_its_own_budget() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(5.0);
-    let (given, reservations) = (service.given, service.reservations.len());
+    let (given, reservations) = (service.new_requests, service.reservations.len());
     service.store.order(Some(order("v3", 12.0)));
     service.tick();
-    assert_eq!(service.reservations[reservations].1.requests, 0, "what is left of a reservation is taken back");
-    assert!(service.given <= given + 4, "one tick's");
+    assert_eq!(service.reservations[reservations].1.requests, 0, "the rest of a reservation is revoked");
+    assert!(service.new_requests <= given + 4, "at most one tick's requests");
     service.run(0.2);
     let after = service.store.history.iter().find(|record| record.target == version("v3")).unwrap().clone();
     assert_eq!(after.stage, Stage::Trial);
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn an_order_that_is_taken_away_rolls_back() {
+fn a_withdrawn_order_rolls_back() {
     for seconds in [3.0, 9.6] {
         let mut service = service();
-        // Something goes on running at the old version, so that the fleet is still moving at 9.6 s.
-        service.facts.running_old = 1;
+        // A request keeps running at the old version, so the fleet is still moving at 9.6 s.
+        service.fleet.running_old = 1;
         service.order(Some(order("v2", 12.0)));
         service.run(seconds);
         assert!(!service.stage().unwrap().is_over());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_order_that_is_taken_away_after_its_end_changes_nothing() {
+fn an_order_withdrawn_after_its_end_changes_nothing() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
@@ -101,8 +101,8 @@
 }
 
 #[test]
-fn the_version_that_serves_is_completed_at_once() {
-    // It was rolled out before...
+fn the_serving_version_is_completed_at_once() {
+    // The version was rolled out before.
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_version_that_serves_is_completed_at_once_while_another_is_on_trial() {
+fn the_serving_version_is_completed_at_once_while_another_is_on_trial() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(4.0);
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn the_only_version_that_there_is_is_completed() {
+fn the_only_version_is_completed() {
     let mut service = service();
-    service.facts = Facts { ready_new: 6, ..Facts::default() };
+    service.fleet = Facts { ready_new: 6, ..Facts::default() };
     service.order(Some(order("v1", 12.0)));
     assert!(service.run_to_end(5.0).unwrap() < Duration::from_secs(2));
     assert_eq!(service.stage(), Some(Stage::Completed));
@@ -137,34 +137,35 @@
 #[test]
 fn a_moment_without_old_upstreams_completes_nothing() {
     let mut service = service();
-    service.facts.ready_old = 0;
+    service.fleet.ready_old = 0;
     service.order(Some(order("v2", 12.0)));
     service.run(0.5);
-    service.facts.ready_old = 6;
+    service.fleet.ready_old = 6;
     service.run(1.5);
     assert_eq!(service.stage(), Some(Stage::Trial));
 }
 
 #[test]
-fn a_version_whose_upstreams_never_come_is_missing() {
+fn a_version_without_ready_upstreams_is_missing() {
     let mut service = service();
-    service.facts.ready_new = 0;
+    service.fleet.ready_new = 0;
     service.order(Some(order("v2", 12.0)));
     let end = service.run_to_end(30.0).unwrap();
     assert_eq!(service.stage(), Some(Stage::RolledBack(Cause::Missing)));
     assert!(end > Duration::from_secs(11) && end < Duration::from_secs(13), "{end:?}");
 }
 
-/// Eighty requests a second for ten seconds, of which a tenth is a few dozen answers: as few as the version is called good by.
+/// With 80 requests per second for 10 s, the share of a tenth is a few dozen answers: as few as are needed to accept
+/// the version.
 #[test]
-fn a_good_version_is_completed_in_time_without_any_slack() {
+fn a_healthy_version_is_completed_in_time_without_any_slack() {
     let rates = [("a", 50.0, true), ("b", 30.0, false)];
     let routes = rates.map(|(name, rate, is_repeatable)| Route { name, rate, failing: 0.005, is_repeatable });
     let mut late = Vec::new();
     for seed in 0..20 {
-        let mut service = Service::new(3, 3, routes.to_vec(), good, seed);
+        let mut service = Service::new(3, 3, routes.to_vec(), healthy, seed);
         let without = Bounds { slack: 0.0, ..bounds() };
-        service.steward = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), without);
+        service.controller = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), without);
         service.order(Some(order("v2", 10.0)));
         service.run_to_end(30.0);
         let record = record(&service);
@@ -176,15 +177,15 @@
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// Two of six, which do well: they couldn't carry the service, and the old ones would be stopped.
+/// Two upstreams of six do well, but they couldn't sustain the service, and the old ones would be stopped.
 #[test]
-fn the_fleet_moves_only_to_as_many_upstreams_as_can_carry_the_service() {
+fn the_fleet_moves_only_to_enough_upstreams_to_sustain_the_service() {
     let mut service = service();
-    service.facts.ready_new = 2;
+    service.fleet.ready_new = 2;
     service.order(Some(order("v2", 12.0)));
     service.run(13.0);
     assert_eq!(service.stage(), Some(Stage::Trial));
-    service.facts.ready_new = 3;
+    service.fleet.ready_new = 3;
     service.run(6.0);
     assert!(matches!(service.stage(), Some(Stage::Moving | Stage::Completed)), "{:?}", service.stage());
 }
@@ -206,11 +207,11 @@
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
     assert_eq!(service.stage(), Some(Stage::RolledBack(Cause::Failing)));
-    let (given, before) = (service.given, record(&service).clone());
+    let (given, before) = (service.new_requests, record(&service).clone());
     service.run(5.0);
-    assert_eq!(service.given, given, "it gets nothing");
-    service.new = good;
-    service.follow = None;
+    assert_eq!(service.new_requests, given, "a rejected version gets no requests");
+    service.new = healthy;
+    service.policy_override = None;
     service.store.order(Some(order("v2", 12.0)));
     service.ordered_at = service.now;
     service.run(0.5);
@@ -218,24 +219,24 @@
     assert_eq!(after.stage, Stage::Trial);
     assert!(after.granted >= before.granted);
     let room = bounds().share * after.requests as f64 + bounds().slack - before.granted as f64;
-    let came = after.requests.saturating_sub(before.requests.min((before.granted as f64 / bounds().share) as u64));
-    assert!(room <= bounds().slack + bounds().share * came as f64 + 1.0, "{room} {before:?} {after:?}");
+    let new_since = after.requests.saturating_sub(before.requests.min((before.granted as f64 / bounds().share) as u64));
+    assert!(room <= bounds().slack + bounds().share * new_since as f64 + 1.0, "{room} {before:?} {after:?}");
     assert!(after.routes.values().all(|tally| tally.new.answers < 10), "{:?}", after.routes);
     service.run_to_end(40.0);
     assert_eq!(service.stage(), Some(Stage::Completed));
 }
 
-/// Ten minutes of traffic without any upstream of the version, and then it is ordered again: what it may get is of what comes
-/// from then on.
+/// The service has ten minutes of traffic without any upstream of the version, and then the version is ordered again.
+/// Its budget must then only grow with new requests.
 #[test]
-fn what_a_version_did_not_get_long_ago_it_does_not_get_at_once() {
+fn unused_budget_does_not_carry_over_to_a_new_order() {
     let mut service = service();
-    service.facts.ready_new = 0;
+    service.fleet.ready_new = 0;
     service.order(Some(order("v2", 600.0)));
     service.run_to_end(700.0);
     assert_eq!(service.stage(), Some(Stage::RolledBack(Cause::Missing)));
     assert!(record(&service).requests > 30_000);
-    service.facts.ready_new = 6;
+    service.fleet.ready_new = 6;
     service.store.order(Some(order("v2", 12.0)));
     service.run(3.0);
     let after = record(&service);
@@ -243,9 +244,9 @@
     assert!(after.granted as f64 <= 50.0 + 0.1 * after.requests as f64, "{after:?}");
 }
 
-/// It goes on serving until somebody has written so: a version that is on trial would get next to nothing.
+/// The serving version must keep serving before a record says so: as a version on trial it would get next to nothing.
 #[test]
-fn the_version_that_serves_goes_on_serving_when_it_is_ordered() {
+fn the_serving_version_keeps_serving_when_it_is_ordered() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(4.0);
@@ -272,12 +273,12 @@
 }
 
 #[test]
-fn the_way_back_to_the_version_before_is_a_trial_of_its_own() {
+fn reverting_to_the_previous_version_is_a_trial_of_its_own() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
-    service.facts.serving = Some(version("v2"));
-    service.follow = None;
+    service.fleet.serving = Some(version("v2"));
+    service.policy_override = None;
     service.order(Some(order("v1", 12.0)));
     service.run(1.0);
     assert_eq!((record(&service).target.clone(), service.stage()), (version("v1"), Some(Stage::Trial)));
@@ -286,59 +287,59 @@
 
 #[test]
 fn nothing_is_reserved_while_the_store_cannot_be_reached() {
-    let mut steward = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds());
+    let mut controller = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds());
     let order = order("v2", 12.0);
-    let facts = Facts { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..Facts::default() };
+    let fleet = Facts { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..Facts::default() };
     let mut now = Moment::from_millis(1_000);
-    steward.learn(now, Some((1, &order)), None);
+    controller.learn(now, Some((1, &order)), None);
     let mut writes = 0;
     for _ in 0..400 {
         now = now + TICK;
-        steward.observe(now, stairvale_rollout::Report { requests: 5, observations: Vec::new() });
-        let steps = steward.tick(now, &facts);
+        controller.observe(now, stairvale_rollout::Report { requests: 5, observations: Vec::new() });
+        let steps = controller.tick(now, &fleet);
         assert!(!steps.iter().any(|step| matches!(step, Step::Reserve(_))), "{steps:?}");
         if steps.iter().any(|step| matches!(step, Step::Write(_))) {
             writes += 1;
-            steward.written(now, Written::Refused);
+            controller.written(now, Written::Refused);
         }
     }
     assert!(writes <= 25, "{writes} calls in twenty seconds to a store that refuses");
 }
 
 #[test]
-fn a_verdict_of_a_peer_stops_the_version_before_the_store_knows() {
+fn a_peers_verdict_stops_the_version_before_it_is_stored() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(4.0);
     let revision = service.store.order.as_ref().unwrap().0;
-    service.steward.condemned(revision);
-    let given = service.given;
+    service.controller.condemned(revision);
+    let given = service.new_requests;
     service.tick();
-    let stage = service.follow.as_ref().map(|policy: &Policy| policy.stage);
+    let stage = service.policy_override.as_ref().map(|policy: &Policy| policy.stage);
     assert_eq!(stage, Some(Stage::RolledBack(Cause::Failing)));
     service.run(0.3);
     assert_eq!(service.stage(), Some(Stage::RolledBack(Cause::Failing)));
-    assert!(service.given <= given + 4, "one tick's");
+    assert!(service.new_requests <= given + 4, "at most one tick's requests");
     assert_eq!(service.reservations.last().unwrap().1.requests, 0);
 }
 
 #[test]
-fn a_verdict_on_an_earlier_order_says_nothing_of_a_later_one() {
+fn a_verdict_on_an_earlier_order_does_not_apply_to_a_later_one() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run(2.0);
     let revision = service.store.order.as_ref().unwrap().0;
     service.store.order(Some(order("v3", 12.0)));
     service.run(0.3);
-    service.steward.condemned(revision);
+    service.controller.condemned(revision);
     service.run(1.0);
     assert_eq!((record(&service).target.clone(), service.stage()), (version("v3"), Some(Stage::Trial)));
 }
 
 #[test]
-fn the_old_version_is_waited_for_as_long_as_the_order_allows() {
+fn requests_at_the_old_version_may_finish_until_the_deadline() {
     let mut service = service();
-    service.facts.running_old = 3;
+    service.fleet.running_old = 3;
     service.order(Some(order("v2", 12.0)));
     let end = service.run_to_end(30.0).unwrap();
     assert_eq!(service.stage(), Some(Stage::Completed));
@@ -346,7 +347,7 @@
 }
 
 #[test]
-fn requests_that_may_run_only_once_meet_the_version_after_others_did_well() {
+fn unrepeatable_requests_are_tried_after_repeatable_ones_succeeded() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
@@ -357,7 +358,7 @@
 }
 
 #[test]
-fn a_service_that_shows_no_repeatable_route_is_tried_all_the_same() {
+fn a_service_without_repeatable_routes_is_tried_as_well() {
     let mut service = service();
     service.routes.retain(|route| !route.is_repeatable);
     service.order(Some(order("v2", 12.0)));
@@ -368,7 +369,7 @@
 }
 
 #[test]
-fn operators_are_told_each_stage_once_with_the_figures() {
+fn each_stage_is_reported_once_with_its_figures() {
     let mut service = service();
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
