--- a/crates/stairvale-rollout/tests/world/mod.rs
+++ b/crates/stairvale-rollout/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! A store with compare and swap, and routers with a steward each, for tests: time goes on in ticks of 50 ms.
+//! A store with compare and swap, and a service whose home runs a roll-out controller, for tests. Time advances in
+//! ticks of 50 ms.
 
-// Each file of tests uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::{collections::BTreeMap, time::Duration};
@@ -29,13 +30,13 @@
     format!("u{number}").parse().unwrap()
 }
 
-/// One key of a store: the order and the record, with one counter of revisions.
+/// The order and the record of one service in a store, with one revision counter for both.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub revision: u64,
     pub order: Option<(u64, Order)>,
     pub record: Option<(u64, Record)>,
-    /// All records that ever stood, in their order.
+    /// All records that were ever stored, in order.
     pub history: Vec<Record>,
 }
 
@@ -57,10 +58,10 @@
     }
 }
 
-/// A small source of numbers that is the same on every machine.
-pub struct Dice(u64);
+/// A small random number generator that gives the same sequence on every machine.
+pub struct TestRng(u64);
 
-impl Dice {
+impl TestRng {
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5851_f42d_4c95_7f2d)
     }
@@ -74,12 +75,12 @@
     }
 
     #[allow(clippy::cast_precision_loss)]
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    pub fn hits(&mut self, share: f64) -> bool {
-        self.share() < share
+    pub fn chance(&mut self, share: f64) -> bool {
+        self.fraction() < share
     }
 
     pub fn below(&mut self, end: usize) -> usize {
@@ -87,7 +88,7 @@
     }
 }
 
-/// One route of a service, with its requests a second and the share that fails wherever it runs.
+/// One route of a service, with its requests per second and the share of them that fails at any version.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
     pub name: &'static str,
@@ -96,65 +97,67 @@
     pub is_repeatable: bool,
 }
 
-/// How a version answers at an upstream: on which route, at which time since the order, whether it is loaded.
-pub type Behaviour = fn(&mut Dice, &Route, Duration, bool) -> Answer;
+/// How the new version answers, depending on the route, the time since the order and whether the upstream is loaded.
+pub type Behaviour = fn(&mut TestRng, &Route, Duration, bool) -> Answer;
 
-pub fn good(dice: &mut Dice, route: &Route, _: Duration, _: bool) -> Answer {
-    if dice.hits(route.failing) { Answer::Failed } else { Answer::Good }
+pub fn healthy(rng: &mut TestRng, route: &Route, _: Duration, _: bool) -> Answer {
+    if rng.chance(route.failing) { Answer::Failed } else { Answer::Good }
 }
 
-/// A service with a pool that does what the steward says, one home, and a store that answers after a tick.
+/// A service whose pool does what the controller requests, with one home, and with a store that answers after one tick.
 pub struct Service {
     pub now: Moment,
     pub store: Store,
-    pub steward: Steward,
-    /// The router that is the home next, and how many there were.
-    heir: Steward,
-    names: u32,
-    pub facts: Facts,
+    pub controller: Steward,
+    /// The controller of the router that becomes home next. `next_router_number` is the number of the router after
+    /// that.
+    successor: Steward,
+    next_router_number: u32,
+    pub fleet: Facts,
     pub routes: Vec<Route>,
     pub new: Behaviour,
-    pub dice: Dice,
+    pub rng: TestRng,
     pub ordered_at: Moment,
     reservation: Option<(Reservation, u32, usize)>,
-    pub follow: Option<Policy>,
-    on_the_way: Option<Write>,
-    /// Requests of the service since the order, those at the new version, bad ones among them.
+    pub policy_override: Option<Policy>,
+    in_flight: Option<Write>,
+    /// Requests of the service since the order. The next two fields count the requests at the new version, and the bad
+    /// answers among them.
     pub requests: u64,
-    pub given: u64,
-    pub bad: u64,
+    pub new_requests: u64,
+    pub new_bad: u64,
     pub bad_at_verdict: Option<u64>,
     pub events: Vec<Event>,
     pub reservations: Vec<(Moment, Reservation)>,
-    pub over_bound: f64,
-    left: f64,
+    pub max_over_bound: f64,
+    request_credit: f64,
 }
 
 impl Service {
     pub fn new(old: usize, new: usize, routes: Vec<Route>, behaviour: Behaviour, seed: u64) -> Self {
-        let facts = Facts { ready_new: new, ready_old: old, serving: Some(version("v1")), ..Facts::default() };
+        let fleet = Facts { ready_new: new, ready_old: old, serving: Some(version("v1")), ..Facts::default() };
         Self {
             now: Moment::from_millis(1_000),
             store: Store::default(),
-            steward: Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds()),
-            heir: Steward::new("r2".parse().unwrap(), "app".parse().unwrap(), bounds()),
-            names: 3,
-            facts,
+            controller: Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds()),
+            successor: Steward::new("r2".parse().unwrap(), "app".parse().unwrap(), bounds()),
+            next_router_number: 3,
+            fleet,
             routes,
             new: behaviour,
-            dice: Dice::new(seed),
+            rng: TestRng::new(seed),
             ordered_at: Moment::ZERO,
             reservation: None,
-            follow: None,
-            on_the_way: None,
+            policy_override: None,
+            in_flight: None,
             requests: 0,
-            given: 0,
-            bad: 0,
+            new_requests: 0,
+            new_bad: 0,
             bad_at_verdict: None,
             events: Vec::new(),
             reservations: Vec::new(),
-            over_bound: f64::NEG_INFINITY,
-            left: 0.0,
+            max_over_bound: f64::NEG_INFINITY,
+            request_credit: 0.0,
         }
     }
 
@@ -174,19 +177,19 @@
 
     pub fn policy(&self) -> Option<Policy> {
         let order = self.store.order.as_ref().map(|(revision, order)| (*revision, order));
-        self.follow.clone().or_else(|| Policy::of(order, self.store.record.as_ref().map(|(_, record)| record)))
+        self.policy_override.clone().or_else(|| Policy::of(order, self.store.record.as_ref().map(|(_, record)| record)))
     }
 
-    /// The home is killed, with what was reserved and the write that was under way; the next one has its copy of the store,
-    /// and saw the order, if it wasn't killed itself since.
+    /// Kills the home, with its reservation and its write in flight. The next home has its own copy of the store; it
+    /// has received the order unless it was itself created later.
     pub fn kill(&mut self) {
-        let names = self.names;
-        self.names += 1;
-        let next = Steward::new(format!("r{names}").parse().unwrap(), "app".parse().unwrap(), bounds());
-        self.steward = std::mem::replace(&mut self.heir, next);
+        let next_router_number = self.next_router_number;
+        self.next_router_number += 1;
+        let next = Steward::new(format!("r{next_router_number}").parse().unwrap(), "app".parse().unwrap(), bounds());
+        self.controller = std::mem::replace(&mut self.successor, next);
         self.reservation = None;
-        self.on_the_way = None;
-        self.follow = None;
+        self.in_flight = None;
+        self.policy_override = None;
     }
 
     pub fn run(&mut self, seconds: f64) {
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Runs until it is over, for so long at most; how long after the order it was.
+    /// Runs until the roll-out ends, for at most this many seconds. Returns the time from the order to the end.
     pub fn run_to_end(&mut self, seconds: f64) -> Option<Duration> {
         let end = self.now + Duration::from_secs_f64(seconds);
         while self.now < end {
@@ -210,62 +213,62 @@
 
     pub fn tick(&mut self) {
         self.now = self.now + TICK;
-        if let Some(write) = self.on_the_way.take() {
+        if let Some(write) = self.in_flight.take() {
             let written = self.store.write(&write);
-            self.steward.written(self.now, written);
+            self.controller.written(self.now, written);
         }
         let order = self.store.order.as_ref().map(|(revision, order)| (*revision, order));
         let record = self.store.record.as_ref().map(|(revision, record)| (*revision, record));
-        self.steward.learn(self.now, order, record);
-        self.heir.learn(self.now, order, record);
+        self.controller.learn(self.now, order, record);
+        self.successor.learn(self.now, order, record);
         let report = self.serve();
-        self.steward.observe(self.now, report);
-        for step in self.steward.tick(self.now, &self.facts) {
+        self.controller.observe(self.now, report);
+        for step in self.controller.tick(self.now, &self.fleet) {
             match step {
-                Step::Write(write) => self.on_the_way = Some(write),
+                Step::Write(write) => self.in_flight = Some(write),
                 Step::Reserve(reservation) => {
                     self.reservations.push((self.now, reservation));
-                    let first = self.dice.below(self.facts.ready_new);
+                    let first = self.rng.below(self.fleet.ready_new);
                     self.reservation = Some((reservation, reservation.requests, first));
                 }
                 Step::Follow(policy) => {
                     if matches!(policy.stage, Stage::RolledBack(_)) && self.bad_at_verdict.is_none() {
-                        self.bad_at_verdict = Some(self.bad);
+                        self.bad_at_verdict = Some(self.new_bad);
                     }
-                    self.follow = Some(policy);
+                    self.policy_override = Some(policy);
                 }
                 Step::Say(event) => self.events.push(event),
             }
         }
     }
 
-    /// One tick's requests, each of which ends at once.
+    /// Serves the requests of one tick, each of which ends at once.
     #[allow(clippy::cast_precision_loss)]
     fn serve(&mut self) -> Report {
         let mut report = Report::default();
         let total: f64 = self.routes.iter().map(|route| route.rate).sum();
-        self.left += total * TICK.as_secs_f64();
+        self.request_credit += total * TICK.as_secs_f64();
         let elapsed = self.elapsed();
-        while self.left >= 1.0 {
-            self.left -= 1.0;
-            let route = self.draw(total);
+        while self.request_credit >= 1.0 {
+            self.request_credit -= 1.0;
+            let route = self.draw_route(total);
             report.requests += 1;
             self.requests += 1;
-            let at = self.place(&route);
+            let at = self.pick_new_upstream(&route);
             let is_new = at.is_some();
             let answer = match at {
-                Some(_) => (self.new)(&mut self.dice, &route, elapsed, true),
-                None => good(&mut self.dice, &route, elapsed, true),
+                Some(_) => (self.new)(&mut self.rng, &route, elapsed, true),
+                None => healthy(&mut self.rng, &route, elapsed, true),
             };
             if is_new {
-                self.given += 1;
-                self.bad += u64::from(answer != Answer::Good);
+                self.new_requests += 1;
+                self.new_bad += u64::from(answer != Answer::Good);
                 if self.policy().is_some_and(|policy| policy.stage == Stage::Trial) {
                     let bound = 0.1 * self.requests as f64 + 50.0;
-                    self.over_bound = self.over_bound.max(self.given as f64 - bound);
+                    self.max_over_bound = self.max_over_bound.max(self.new_requests as f64 - bound);
                 }
             }
-            let upstream = at.unwrap_or_else(|| 1_000 + self.dice.below(self.facts.ready_old));
+            let upstream = at.unwrap_or_else(|| 1_000 + self.rng.below(self.fleet.ready_old));
             report.observations.push(Observation {
                 route: id::Route::of(route.name),
                 upstream: upstream_of(upstream),
@@ -276,8 +279,8 @@
         report
     }
 
-    fn draw(&mut self, total: f64) -> Route {
-        let mut at = self.dice.share() * total;
+    fn draw_route(&mut self, total: f64) -> Route {
+        let mut at = self.rng.fraction() * total;
         for route in &self.routes {
             if at < route.rate {
                 return *route;
@@ -287,11 +290,11 @@
         self.routes[0]
     }
 
-    /// The new version's upstream that a request goes to.
-    fn place(&mut self, route: &Route) -> Option<usize> {
+    /// The new version's upstream that a request goes to, if it goes to the new version.
+    fn pick_new_upstream(&mut self, route: &Route) -> Option<usize> {
         let policy = self.policy()?;
         match policy.stage {
-            Stage::Moving | Stage::Completed => Some(self.dice.below(self.facts.ready_new)),
+            Stage::Moving | Stage::Completed => Some(self.rng.below(self.fleet.ready_new)),
             Stage::RolledBack(_) => None,
             Stage::Trial => {
                 let (reservation, left, first) = self.reservation.as_mut()?;
@@ -299,14 +302,14 @@
                 if !is_open || !(route.is_repeatable || reservation.unrepeatable) {
                     return None;
                 }
-                // As much as old upstreams carry: a share of the requests in proportion to the upstreams.
+                // New upstreams carry as much as old ones: a share of the requests in proportion to their number.
                 let over = reservation.over;
-                let share = over as f64 / (over + self.facts.ready_old) as f64;
-                if !self.dice.hits(share) {
+                let share = over as f64 / (over + self.fleet.ready_old) as f64;
+                if !self.rng.chance(share) {
                     return None;
                 }
                 *left -= 1;
-                Some((*first + self.dice.below(over)) % self.facts.ready_new)
+                Some((*first + self.rng.below(over)) % self.fleet.ready_new)
             }
         }
     }
@@ -316,7 +319,7 @@
     upstream(number)
 }
 
-/// Counts of a route's answers in a record, for tests that look at them.
+/// For each route, the numbers of answers at the old and the new version in a record.
 pub fn answers(record: &Record) -> BTreeMap<id::Route, (u64, u64)> {
     record.routes.iter().map(|(route, tally)| (*route, (tally.old.answers, tally.new.answers))).collect()
 }
