--- a/crates/stairvale-rollout/src/steward/tell.rs
+++ b/crates/stairvale-rollout/src/steward/tell.rs
@@ -11,15 +11,15 @@
         let Some((_, record)) = &self.record else { return };
         let rejection = self.verdict.filter(|(order, ..)| *order == record.order);
         let found = rejection.and_then(|(_, cause, route)| route.map(|route| (route, cause)));
-        let (stage, is_committed) = match rejection {
+        let (stage, is_stored) = match rejection {
             Some((_, cause, _)) if !record.stage.is_over() => (Stage::RolledBack(cause), false),
             _ => (record.stage, true),
         };
-        let is_own = if is_committed { record.writer == self.me } else { found.is_some() };
-        if self.last_logged == Some((record.order, stage, is_committed)) || !is_own {
+        let is_own = if is_stored { record.writer == self.me } else { found.is_some() };
+        if self.last_logged == Some((record.order, stage, is_stored)) || !is_own {
             return;
         }
-        self.last_logged = Some((record.order, stage, is_committed));
+        self.last_logged = Some((record.order, stage, is_stored));
         let unrecorded = self.outbox.unrecorded();
         let mut routes = record.routes.clone();
         outbox::add(&mut routes, &unrecorded.routes);
@@ -28,7 +28,7 @@
             order: record.order,
             target: record.target.clone(),
             stage,
-            stands: is_committed,
+            stands: is_stored,
             found,
             elapsed: self.clock.age(now),
             requests: record.requests + unrecorded.requests,
@@ -68,11 +68,11 @@
         {
             self.trial.reservation_issued(now, reservation.plan);
             self.issued = Some((reservation.order, reservation.until));
-            let Plan { requests, upstreams, unrepeatable, is_rehearsal: _ } = reservation.plan;
+            let Plan { requests, upstreams: upstream_count, unrepeatable, is_rehearsal: _ } = reservation.plan;
             steps.push(Step::Reserve(Reservation {
                 requests,
                 until: reservation.until,
-                over: upstreams,
+                over: upstream_count,
                 unrepeatable,
             }));
         }
