--- a/crates/stairvale-replica/src/item.rs
+++ b/crates/stairvale-replica/src/item.rs
@@ -1,4 +1,4 @@
-//! What the store says of one thing.
+//! Items of the store: their subjects and values.
 
 use std::{cmp::Ordering, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,28 +7,28 @@
 use stairvale_table::Document;
 use stairvale_types::id;
 
-/// What an item is about. Upstreams sort last: there are thousands of them, and whoever looks for something else needn't pass
-/// them. With 10,000 such a look took a router some 0.1 ms, ten times a second.
+/// What an item is about. Upstreams sort last, because there are thousands of them and a scan for other subjects
+/// needn't pass them: with 10,000 upstreams such a scan took a router some 0.1 ms, ten times a second.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum Subject {
-    /// The configuration.
+    /// The configuration of the fleet.
     Configuration,
-    /// An upstream, by its name: what is said of it tells the life that it is about.
+    /// An upstream, by its name. The value states which incarnation it describes.
     Upstream(id::Upstream),
-    /// A router.
+    /// A router's registration, by the router's name.
     Router(id::Router),
     /// The evacuation of an availability zone.
     Evacuation(id::Zone),
     /// An operator's order to move a service to another version.
     Order(id::Service),
-    /// How far the fleet has come with that.
+    /// The fleet's progress with such an order.
     Rollout(id::Service),
-    /// A request that upstreams end because of.
+    /// A request that crashes the upstreams that run it.
     Quarantine(id::Fingerprint),
 }
 
 impl Subject {
-    /// The kind, and what tells it from others of that kind.
+    /// The sort key: the rank of the kind, and what distinguishes subjects of that kind.
     fn key(&self) -> (u8, &str, u64) {
         match self {
             Self::Configuration => (0, "", 0),
@@ -54,87 +54,89 @@
     }
 }
 
-/// Something that the store holds, or that it no longer does.
+/// An entry of the store, or the tombstone of one that was removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// What it is about.
+    /// The subject of the entry.
     pub subject: Subject,
-    /// The store's revision of this change; later ones win.
+    /// The store's revision of this change. The item with the higher revision wins.
     pub revision: u64,
-    /// What is said; `None` if it is gone.
+    /// The value of the entry; `None` if it was removed.
     pub value: Option<Value>,
-    /// Whether that can be relied upon: what went while the store failed its reader may be back soon.
+    /// Whether a removal is conclusive: an entry that was removed while the store failed its reader may be registered
+    /// again soon.
     pub sure: bool,
 }
 
 impl Item {
-    /// What the store says.
+    /// An item as read from a store that works, so that a removal is conclusive.
     #[must_use]
     pub fn new(subject: Subject, revision: u64, value: Option<Value>) -> Self {
         Self { subject, revision, value, sure: true }
     }
 }
 
-/// What is said of a subject.
+/// The value of a subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// The configuration.
+    /// The document that is the configuration of the fleet.
     Configuration(Arc<Document>),
-    /// An upstream.
+    /// An upstream's registration.
     Upstream(Upstream),
-    /// A router.
+    /// A router's registration.
     Router(Router),
-    /// Nothing new is to go to the upstreams of a zone.
+    /// The zone is evacuated: its upstreams are sent no new work.
     Evacuation,
-    /// A service is to move to another version.
+    /// An operator's order that a service move to another version.
     Order(Order),
-    /// How far it has come.
+    /// The fleet's progress with the order for the service.
     Rollout(Record),
-    /// A request goes nowhere for this long from when it was written.
+    /// The request is quarantined for this long, counted from when the entry was written.
     Quarantine(Duration),
-    /// Something that can't be read: it says nothing, but that what stood there before is over.
+    /// An entry that can't be parsed. It holds no information, except that the previous value no longer applies.
     Unreadable,
 }
 
-/// One life of an upstream.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The life that this is about.
+    /// The incarnation's identifier.
     pub id: id::Upstream,
-    /// The service it belongs to.
+    /// The service that the upstream belongs to.
     pub service: id::Service,
-    /// Where it is reached. The address may belong to another upstream later.
+    /// The address at which the upstream is reached. It may belong to another upstream later.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The upstream's availability zone.
     pub zone: id::Zone,
-    /// Requests that it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether the upstream takes new work.
     pub state: State,
-    /// How much longer it is cold, when this was written: just started, and able to bear only a few requests a second.
+    /// How much longer the upstream is cold, as of when the entry was written: it has just started and can sustain only
+    /// a few requests a second.
     pub cold: Duration,
-    /// The software that it runs; `None` if it doesn't say.
+    /// The software version that the upstream runs; `None` if it doesn't report one.
     pub version: Option<id::Version>,
 }
 
-/// Whether an upstream takes work.
+/// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// The upstream takes new work.
     Ready,
-    /// It finishes what it has.
+    /// The upstream finishes its outstanding requests and takes no new ones.
     Draining,
 }
 
-/// A router that lives, or did a moment ago.
+/// A router that is alive, or was a moment ago.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Router {
-    /// Its name.
+    /// The router's name.
     pub id: id::Router,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: id::Zone,
-    /// Where peers reach it.
+    /// The address at which peers reach the router.
     pub address: SocketAddr,
-    /// Its share of a processor, in hundredths of a core.
+    /// The router's share of a processor, in hundredths of a core.
     pub strength: u32,
 }
--- a/crates/stairvale-replica/src/lib.rs
+++ b/crates/stairvale-replica/src/lib.rs
@@ -1,8 +1,8 @@
-//! A router's copy of what the store says, with its revision and its age.
+//! A router's copy of the store, with its revision and its age.
 //!
-//! The store is read by a few routers; the others take their copy from peers. A [`View`] takes what was read or told,
-//! in any order and more than once, and never goes back. It knows as of when it is known to be the newest, which decides
-//! whether keys that may have been taken away still count.
+//! A few routers read the store; the others receive updates from their peers. A [`View`] applies such updates in any
+//! order and more than once, and its revision never goes back. It records when it was last known to be current, which
+//! decides whether keys that may have been revoked are still accepted.
 //!
 //! ```
 //! use stairvale_replica::View;
--- a/crates/stairvale-replica/src/news.rs
+++ b/crates/stairvale-replica/src/news.rs
@@ -1,33 +1,33 @@
-//! What is told of the store.
+//! Updates of a router's copy of the store.
 
 use serde::Deserialize;
 
 use crate::{Item, Revision, Value, written::Written};
 
-/// Changes for a peer's copy.
+/// An update of a router's copy of the store, as it is read from the store or sent to a peer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "Written<'_>")]
 pub enum News {
-    /// All changes after a revision, up to another.
+    /// All changes after one revision, up to another.
     Changes {
-        /// The revision that they follow on.
+        /// The revision that the changes follow on.
         after: u64,
-        /// The revision that they lead to.
+        /// The revision that the changes lead to.
         to: u64,
-        /// The changes, in order.
+        /// The changed items, in the order in which they are applied.
         items: Vec<Item>,
     },
-    /// Everything as of a revision; what isn't named isn't there.
+    /// The complete contents of the store as of a revision; a subject that isn't listed doesn't exist.
     Everything {
-        /// The revision.
+        /// The revision of the contents.
         to: u64,
-        /// All items.
+        /// All items that exist.
         items: Vec<Item>,
     },
 }
 
 impl News {
-    /// The revision up to which it goes.
+    /// The revision that a copy reaches with this update.
     #[must_use]
     pub fn to(&self) -> Revision {
         match self {
@@ -35,25 +35,25 @@
         }
     }
 
-    /// The same as a build tells it that knows no epochs, by the store's own numbers.
+    /// The same update for a build that doesn't support epochs, with the store's own numbers as revisions.
     #[must_use]
     pub fn without_epochs(mut self) -> Self {
-        let number = |revision: &mut u64| *revision = Revision::from(*revision).number();
+        let strip_epoch = |revision: &mut u64| *revision = Revision::from(*revision).number();
         let items = match &mut self {
             Self::Changes { after, to, items } => {
-                number(after);
-                number(to);
+                strip_epoch(after);
+                strip_epoch(to);
                 items
             }
             Self::Everything { to, items } => {
-                number(to);
+                strip_epoch(to);
                 items
             }
         };
         for item in items {
-            number(&mut item.revision);
+            strip_epoch(&mut item.revision);
             if let Some(Value::Rollout(record)) = &mut item.value {
-                number(&mut record.order);
+                strip_epoch(&mut record.order);
             }
         }
         self
--- a/crates/stairvale-replica/src/view/lookups.rs
+++ b/crates/stairvale-replica/src/view/lookups.rs
@@ -1,4 +1,4 @@
-//! What a copy says of each subject.
+//! Lookups of single subjects and of all subjects of a kind.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use crate::{Item, Router, State, Subject, Upstream, Value};
 
 impl View {
-    /// The configuration, if one is known.
+    /// The configuration, if the copy holds one.
     #[must_use]
     pub fn document(&self) -> Option<&Arc<Document>> {
         let Value::Configuration(document) = self.value(&Subject::Configuration)? else {
@@ -19,53 +19,56 @@
         Some(document)
     }
 
-    /// Upstreams that the store names, each with the revision at which it was written, and those whose entry lapsed with the
-    /// store, with the revision at which it did. One counts only once this copy is as new as the entry that it came with.
+    /// Upstreams registered in the store, each with the revision at which its entry was written, and those whose entry
+    /// was removed while the store was failing, with the revision of the removal. An upstream is included only once
+    /// this copy is as new as its entry.
     pub fn upstreams(&self) -> impl Iterator<Item = (&Upstream, u64)> {
-        let named = self.items.values().filter_map(|item| {
+        let registered = self.items.values().filter_map(|item| {
             let Value::Upstream(upstream) = item.value.as_ref()? else {
                 return None;
             };
             Some((upstream, item.revision))
         });
-        let lapsed = self.lapsed.values().map(|upstream| {
+        let expired = self.expired.values().map(|upstream| {
             let item = self.items.get(&Subject::Upstream(upstream.id.name()));
             (upstream, item.map_or(0, |item| item.revision))
         });
-        named.filter(|(upstream, _)| !self.pending.contains(&upstream.id.name())).chain(lapsed)
+        registered.filter(|(upstream, _)| !self.pending.contains(&upstream.id.name())).chain(expired)
     }
 
-    /// A life of an upstream, as [`View::upstreams`] has it; `None` if its name is gone, or stands for another life by now.
+    /// One incarnation of an upstream, included as by [`View::upstreams`]; `None` if its name is gone, or stands for
+    /// another incarnation by now.
     #[must_use]
     pub fn upstream(&self, id: &id::Upstream) -> Option<&Upstream> {
-        self.present(&id.name()).filter(|known| known.id == *id)
+        self.current(&id.name()).filter(|current| current.id == *id)
     }
 
-    /// The present life of an upstream's name, with the revision at which it was written, as [`View::upstreams`] has it.
+    /// The current incarnation of an upstream's name, with the revision of its entry, included as by
+    /// [`View::upstreams`].
     #[must_use]
     pub fn written(&self, name: &id::Upstream) -> Option<(&Upstream, u64)> {
         let item = self.items.get(&Subject::Upstream(name.clone()));
-        Some((self.present(name)?, item.map_or(0, |item| item.revision)))
+        Some((self.current(name)?, item.map_or(0, |item| item.revision)))
     }
 
-    fn present(&self, name: &id::Upstream) -> Option<&Upstream> {
-        let named = match self.items.get(&Subject::Upstream(name.clone())).and_then(|item| item.value.as_ref()) {
+    fn current(&self, name: &id::Upstream) -> Option<&Upstream> {
+        let registered = match self.items.get(&Subject::Upstream(name.clone())).and_then(|item| item.value.as_ref()) {
             Some(Value::Upstream(upstream)) => Some(upstream).filter(|_| !self.pending.contains(name)),
             Some(_) | None => None,
         };
-        named.or_else(|| self.lapsed.get(name))
+        registered.or_else(|| self.expired.get(name))
     }
 
     fn value(&self, subject: &Subject) -> Option<&Value> {
         self.items.get(subject)?.value.as_ref()
     }
 
-    /// All that isn't said of upstreams.
-    fn others(&self) -> impl Iterator<Item = &Item> {
+    /// All items except upstreams, which sort last, so that this scan passes none of them.
+    fn non_upstreams(&self) -> impl Iterator<Item = &Item> {
         self.items.values().take_while(|item| !matches!(item.subject, Subject::Upstream(_)))
     }
 
-    /// A router that the store names.
+    /// A router registered in the store.
     #[must_use]
     pub fn router(&self, id: &id::Router) -> Option<&Router> {
         let Value::Router(router) = self.value(&Subject::Router(id.clone()))? else {
@@ -74,9 +77,9 @@
         Some(router)
     }
 
-    /// Routers that the store names.
+    /// All routers registered in the store.
     pub fn routers(&self) -> impl Iterator<Item = &Router> {
-        self.others().filter_map(|item| {
+        self.non_upstreams().filter_map(|item| {
             let Value::Router(router) = item.value.as_ref()? else {
                 return None;
             };
@@ -84,26 +87,28 @@
         })
     }
 
-    /// Whether an upstream may be sent new work. One of a version on trial may: the service's home decides how much.
+    /// Whether an upstream may be sent new work. One of a version on trial may: the service's home limits how much it
+    /// gets.
     #[must_use]
     pub fn is_usable(&self, upstream: &id::Upstream) -> bool {
-        let Some(known) = self.upstream(upstream) else {
+        let Some(current) = self.upstream(upstream) else {
             return false;
         };
-        let ready = known.state == State::Ready && !self.is_evacuated(&known.zone);
-        let admits = |policy: Policy| policy.admits(known.version.as_ref()) != Admission::Nothing;
-        ready && self.policy(&known.service).is_none_or(admits)
+        let ready = current.state == State::Ready && !self.is_evacuated(&current.zone);
+        let admits = |policy: Policy| policy.admits(current.version.as_ref()) != Admission::Nothing;
+        ready && self.policy(&current.service).is_none_or(admits)
     }
 
-    /// What the versions of a service may be given, by its order and the record of its roll-out; `None` if there never was one.
+    /// What the versions of a service may be given, according to its order and the record of its roll-out; `None` if it
+    /// has neither.
     #[must_use]
     pub fn policy(&self, service: &id::Service) -> Option<Policy> {
         Policy::of(self.order(service), self.rollout(service).map(|(_, record)| record))
     }
 
-    /// The services with an order or a record of a roll-out; one with both is named twice.
+    /// All services with an order or a record of a roll-out. A service with both is returned twice.
     pub fn rollouts(&self) -> impl Iterator<Item = &id::Service> {
-        self.others().filter(|item| item.value.is_some()).filter_map(|item| match &item.subject {
+        self.non_upstreams().filter(|item| item.value.is_some()).filter_map(|item| match &item.subject {
             Subject::Order(service) | Subject::Rollout(service) => Some(service),
             Subject::Configuration
             | Subject::Upstream(_)
@@ -113,15 +118,15 @@
         })
     }
 
-    /// Whether nothing new is to go to the upstreams of a zone.
+    /// Whether a zone is evacuated, so that its upstreams are sent no new work.
     #[must_use]
     pub fn is_evacuated(&self, zone: &id::Zone) -> bool {
         self.items.get(&Subject::Evacuation(zone.clone())).is_some_and(|item| item.value.is_some())
     }
 
-    /// The zones to whose upstreams nothing new is to go.
+    /// All evacuated zones, whose upstreams are sent no new work.
     pub fn evacuated(&self) -> impl Iterator<Item = &id::Zone> {
-        self.others().filter(|item| item.value.is_some()).filter_map(|item| match &item.subject {
+        self.non_upstreams().filter(|item| item.value.is_some()).filter_map(|item| match &item.subject {
             Subject::Evacuation(zone) => Some(zone),
             Subject::Configuration
             | Subject::Upstream(_)
@@ -132,7 +137,7 @@
         })
     }
 
-    /// The order to move a service to another version, with the store's revision of it.
+    /// The order to move a service to another version, with its revision in the store.
     #[must_use]
     pub fn order(&self, service: &id::Service) -> Option<(u64, &Order)> {
         let item = self.items.get(&Subject::Order(service.clone()))?;
@@ -142,7 +147,7 @@
         Some((item.revision, order))
     }
 
-    /// How far the fleet has come with the newest order for a service, with the store's revision of that.
+    /// The record of the fleet's progress with the newest order for a service, with the record's revision in the store.
     #[must_use]
     pub fn rollout(&self, service: &id::Service) -> Option<(u64, &Record)> {
         let item = self.items.get(&Subject::Rollout(service.clone()))?;
@@ -152,12 +157,12 @@
         Some((item.revision, record))
     }
 
-    /// How long a request is to go nowhere, from when that was written.
+    /// How long a request is quarantined, counted from when the entry was written.
     #[must_use]
     pub fn quarantine(&self, fingerprint: id::Fingerprint) -> Option<Duration> {
-        let Value::Quarantine(length) = self.value(&Subject::Quarantine(fingerprint))? else {
+        let Value::Quarantine(duration) = self.value(&Subject::Quarantine(fingerprint))? else {
             return None;
         };
-        Some(*length)
+        Some(*duration)
     }
 }
--- a/crates/stairvale-replica/src/written.rs
+++ b/crates/stairvale-replica/src/written.rs
@@ -1,6 +1,7 @@
-//! How news is written on a stream. A whole copy is mostly upstreams, thousands of which share a few services, zones and versions:
-//! these stand in a list of names once, and each upstream is a short row. So a copy takes less than half of the bytes, and what
-//! is read from it shares its names.
+//! The encoding of updates on a stream. A full update consists mostly of upstreams, thousands of which share a few
+//! services, zones and versions. Each of these names is encoded once, in a list of names, and each upstream is a short
+//! row that refers to them. This takes less than half of the bytes, and the decoded upstreams share their names in
+//! memory.
 
 use std::{borrow::Cow, collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -9,25 +10,25 @@
 
 use crate::{Item, News, Subject, Upstream, Value, item::State};
 
-/// Why what was read is no news.
+/// Why a decoded update is invalid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A row names something that the list of names hasn't.
-    #[error("a row names what the list of names hasn't")]
-    Missing,
-    /// A name is none.
-    #[error("a name is none")]
-    Name,
+    /// A row refers to an index outside of the list of names.
+    #[error("a row refers to an index outside of the list of names")]
+    IndexOutOfRange,
+    /// An entry of the list of names isn't a valid name of the kind that a row refers to it as.
+    #[error("an entry of the list of names isn't a valid name of the kind that a row refers to it as")]
+    InvalidName,
 }
 
-/// News as it is written.
+/// An update in its encoded form.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Written<'a> {
     Changes { after: u64, to: u64, items: Cow<'a, [Item]> },
     Everything { to: u64, names: Vec<String>, upstreams: Vec<Row>, others: Vec<Item> },
 }
 
-/// An upstream that the store names.
+/// An upstream registered in the store. Its service, zone and version are indices into the list of names.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Row {
     id: id::Upstream,
@@ -42,34 +43,34 @@
     version: Option<u32>,
 }
 
-/// Names, each once.
+/// The list of names, each of which occurs once, with their indices.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     names: Vec<String>,
-    places: HashMap<String, u32>,
+    indices: HashMap<String, u32>,
 }
 
-impl Names {
-    fn place(&mut self, name: &str) -> u32 {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+impl NameTable {
+    fn index(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let place = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
+        let index = u32::try_from(self.names.len()).unwrap_or(u32::MAX);
         self.names.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.indices.insert(name.to_owned(), index);
+        index
     }
 }
 
 impl<'a> Written<'a> {
-    fn of(news: &'a News) -> Self {
-        let (to, items) = match news {
+    fn new(update: &'a News) -> Self {
+        let (to, items) = match update {
             News::Changes { after, to, items } => {
                 return Self::Changes { after: *after, to: *to, items: Cow::Borrowed(items) };
             }
             News::Everything { to, items } => (*to, items),
         };
-        let mut names = Names::default();
+        let mut names = NameTable::default();
         let (mut upstreams, mut others) = (Vec::with_capacity(items.len()), Vec::new());
         for item in items {
             match (&item.subject, &item.value) {
@@ -78,13 +79,13 @@
                         id: upstream.id.clone(),
                         revision: item.revision,
                         sure: item.sure,
-                        service: names.place(upstream.service.as_str()),
-                        zone: names.place(upstream.zone.as_str()),
+                        service: names.index(upstream.service.as_str()),
+                        zone: names.index(upstream.zone.as_str()),
                         address: upstream.address,
                         slots: upstream.slots,
                         state: upstream.state,
                         cold: upstream.cold,
-                        version: upstream.version.as_ref().map(|version| names.place(version.as_str())),
+                        version: upstream.version.as_ref().map(|version| names.index(version.as_str())),
                     });
                 }
                 _ => others.push(item.clone()),
@@ -96,41 +97,42 @@
 
 impl Serialize for News {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        Written::of(self).serialize(serializer)
+        Written::new(self).serialize(serializer)
     }
 }
 
-/// A list of names as one kind of name. Those of another kind are left out.
-fn read<T: std::str::FromStr>(names: &[String]) -> Vec<Option<T>> {
+/// Parses a list of names as one kind of name. A name that isn't valid as that kind becomes `None`.
+fn parse_names<T: std::str::FromStr>(names: &[String]) -> Vec<Option<T>> {
     names.iter().map(|name| name.parse().ok()).collect()
 }
 
-fn find<T: Clone>(names: &[Option<T>], place: u32) -> Result<T, Error> {
-    let name = usize::try_from(place).ok().and_then(|place| names.get(place)).ok_or(Error::Missing)?;
-    name.clone().ok_or(Error::Name)
+fn resolve<T: Clone>(names: &[Option<T>], index: u32) -> Result<T, Error> {
+    let name = usize::try_from(index).ok().and_then(|index| names.get(index)).ok_or(Error::IndexOutOfRange)?;
+    name.clone().ok_or(Error::InvalidName)
 }
 
 impl TryFrom<Written<'_>> for News {
     type Error = Error;
 
-    fn try_from(written: Written<'_>) -> Result<Self, Error> {
-        let (to, names, upstreams, others) = match written {
+    fn try_from(encoded: Written<'_>) -> Result<Self, Error> {
+        let (to, names, upstreams, others) = match encoded {
             Written::Changes { after, to, items } => return Ok(Self::Changes { after, to, items: items.into_owned() }),
             Written::Everything { to, names, upstreams, others } => (to, names, upstreams, others),
         };
-        let (services, zones, versions) = (read::<id::Service>(&names), read::<id::Zone>(&names), read(&names));
+        let (services, zones, versions) =
+            (parse_names::<id::Service>(&names), parse_names::<id::Zone>(&names), parse_names(&names));
         let mut items = others;
         items.reserve(upstreams.len());
         for row in upstreams {
             let upstream = Upstream {
                 id: row.id.clone(),
-                service: find(&services, row.service)?,
+                service: resolve(&services, row.service)?,
                 address: row.address,
-                zone: find(&zones, row.zone)?,
+                zone: resolve(&zones, row.zone)?,
                 slots: row.slots,
                 state: row.state,
                 cold: row.cold,
-                version: row.version.map(|place| find(&versions, place)).transpose()?,
+                version: row.version.map(|index| resolve(&versions, index)).transpose()?,
             };
             let value = Some(Value::Upstream(upstream));
             items.push(Item {
--- a/crates/stairvale-replica/tests/restore.rs
+++ b/crates/stairvale-replica/tests/restore.rs
@@ -1,4 +1,4 @@
-//! A copy of a store that is restored from a copy itself.
+//! Copies of a store that was itself restored from a backup.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,8 +14,8 @@
 use stairvale_table::Document;
 use stairvale_types::{Moment, id};
 
-/// Longer than an entry that came with a restore is withheld.
-const LONG: u64 = 40_000;
+/// Longer than an entry that came with a restore is withheld, in milliseconds.
+const PAST_WITHHOLD_PERIOD_MS: u64 = 40_000;
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -65,18 +65,18 @@
 }
 
 #[test]
-fn a_revision_is_taken_apart_as_it_was_put_together() {
+fn a_revision_consists_of_its_epoch_and_number() {
     let revision = Revision::new(3, 77).unwrap();
     assert_eq!((revision.epoch(), revision.number(), revision.to_string()), (3, 77, "3.77".to_owned()));
     assert!(Revision::new(4, 1) > Revision::new(3, Revision::LAST_NUMBER));
-    assert_eq!(Revision::new(0, 5).map(u64::from), Some(5), "of a store that tells none it is the store's own");
+    assert_eq!(Revision::new(0, 5).map(u64::from), Some(5), "without an epoch it is the store's own revision");
     assert_eq!(Revision::new(Revision::LAST_EPOCH + 1, 0), None);
     assert_eq!(Revision::new(0, Revision::LAST_NUMBER + 1), None);
 }
 
-/// Guards against changes that are dropped since their numbers were known before the restore.
+/// Guards against changes that are dropped because their numbers were already reached before the restore.
 #[test]
-fn what_is_written_after_a_restore_counts_whatever_its_number() {
+fn changes_after_a_restore_apply_whatever_their_number() {
     let mut view = View::default();
     assert!(view.read(at(0), at(0), everything(1, 50, vec![ready("u1", 1, 50), configuration(1, 49, 3)])));
     assert!(view.read(at(9), at(9), everything(2, 40, vec![ready("u1", 2, 30), configuration(2, 20, 3)])));
@@ -86,30 +86,30 @@
     assert_eq!(view.document().unwrap().version, 4);
 }
 
-/// Guards against a peer that is told changes on top of what the restore has undone.
+/// Guards against a peer that is sent changes on top of what the restore has undone.
 #[test]
-fn a_peer_of_an_earlier_epoch_is_told_everything() {
+fn a_peer_of_an_earlier_epoch_is_sent_a_full_update() {
     let (mut reader, mut peer) = (View::default(), View::default());
     for view in [&mut reader, &mut peer] {
         assert!(view.take(everything(1, 40, vec![ready("u1", 1, 5)])));
     }
     assert!(peer.take(changes(1, 40, 45, vec![ready("lost", 1, 45)])));
     assert!(reader.read(at(1), at(1), everything(2, 42, vec![ready("u1", 2, 5)])));
-    assert!(reader.since(peer.revision()).is_some_and(|news| matches!(news, News::Everything { .. })));
-    assert!(!peer.take(changes(2, 42, 43, Vec::new())), "changes don't lead there");
+    assert!(reader.since(peer.revision()).is_some_and(|update| matches!(update, News::Everything { .. })));
+    assert!(!peer.take(changes(2, 42, 43, Vec::new())), "changes don't follow on an earlier epoch");
     assert!(peer.take(reader.since(peer.revision()).unwrap()));
     assert_eq!(peer.revision(), reader.revision());
-    assert!(reader.take(peer.since(0).unwrap()), "and back");
-    // What comes late of the epoch before is nothing new.
+    assert!(reader.take(peer.since(0).unwrap()), "and in the other direction");
+    // Updates of the earlier epoch that arrive late are dropped.
     assert!(peer.take(changes(1, 45, 60, vec![ready("late", 1, 60)])));
     assert!(peer.take(everything(1, 70, vec![ready("late", 1, 60)])));
     assert!(!peer.read(at(2), at(2), everything(1, 70, vec![ready("late", 1, 60)])));
     assert!(!usable(&peer, "late"));
 }
 
-/// Guards against upstreams that seem to start anew, each at each router, with every restore.
+/// Guards against upstreams that each router takes for newly started after every restore.
 #[test]
-fn what_is_equal_but_for_its_revision_has_not_changed() {
+fn an_item_that_differs_only_in_its_revision_has_not_changed() {
     let mut view = View::default();
     let items = |epoch| vec![ready("u1", epoch, 5), ready("u2", epoch, 6), configuration(epoch, 4, 3)];
     view.read(at(0), at(0), everything(1, 40, items(1)));
@@ -129,32 +129,32 @@
     assert_eq!(view.document().unwrap().version, 10);
 }
 
-/// Guards against work for a life that was leaving, or had ended, when the store lost that.
+/// Guards against work for an incarnation that was draining, or had ended, when the store lost that change.
 #[test]
-fn a_life_that_left_does_not_come_back_with_the_store() {
+fn an_incarnation_that_ended_does_not_come_back_with_the_store() {
     let mut view = View::default();
     view.read(at(0), at(0), everything(1, 3, vec![ready("leaves", 1, 1), ready("ends", 1, 2), ready("stays", 1, 3)]));
-    let left = vec![item("leaves", revision(1, 4), Some(State::Draining)), item("ends", revision(1, 5), None)];
-    view.read(at(9_000), at(9_000), changes(1, 3, 5, left));
+    let removals = vec![item("leaves", revision(1, 4), Some(State::Draining)), item("ends", revision(1, 5), None)];
+    view.read(at(9_000), at(9_000), changes(1, 3, 5, removals));
     let restored = vec![ready("leaves", 2, 1), ready("ends", 2, 2), ready("stays", 2, 3)];
     view.read(at(9_100), at(9_100), everything(2, 3, restored));
     view.tick(at(9_200));
     assert!(!usable(&view, "leaves") && !usable(&view, "ends") && usable(&view, "stays"));
-    // A later life of that name is another one.
-    let mut reborn = ready("leaves", 2, 4);
-    if let Some(Value::Upstream(upstream)) = &mut reborn.value {
+    // A later incarnation of that name is another upstream.
+    let mut restarted = ready("leaves", 2, 4);
+    if let Some(Value::Upstream(upstream)) = &mut restarted.value {
         upstream.id = "leaves@8".parse().unwrap();
     }
-    view.read(at(9_300), at(9_300), changes(2, 3, 4, vec![reborn]));
+    view.read(at(9_300), at(9_300), changes(2, 3, 4, vec![restarted]));
     assert!(view.is_usable(&"leaves@8".parse().unwrap()));
-    // An entry that is kept up for long has an upstream that lives.
-    assert!(!view.tick(at(9_300 + LONG / 2)));
-    assert!(view.tick(at(9_300 + LONG)));
+    // An entry that is renewed for this long belongs to a live upstream.
+    assert!(!view.tick(at(9_300 + PAST_WITHHOLD_PERIOD_MS / 2)));
+    assert!(view.tick(at(9_300 + PAST_WITHHOLD_PERIOD_MS)));
     assert!(usable(&view, "ends"));
 }
 
 #[test]
-fn a_life_that_had_ended_and_writes_again_is_used_at_once() {
+fn an_incarnation_that_had_ended_and_registers_again_is_used_at_once() {
     let mut view = View::default();
     view.read(at(0), at(0), everything(1, 3, vec![ready("u1", 1, 3)]));
     view.read(at(9_000), at(9_000), changes(1, 3, 5, vec![item("u1", revision(1, 5), None)]));
@@ -164,9 +164,9 @@
     assert!(usable(&view, "u1"));
 }
 
-/// Guards against upstreams of the lost seconds that are dropped at once, or kept for good.
+/// Guards against upstreams registered in the lost seconds that are dropped at once, or kept for good.
 #[test]
-fn what_a_restore_has_lost_is_kept_for_a_while() {
+fn upstreams_that_a_restore_has_lost_are_kept_for_a_while() {
     let (mut reader, mut peer) = (View::default(), View::default());
     reader.read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
     peer.take(reader.since(0).unwrap());
@@ -187,10 +187,10 @@
     assert!(!usable(&peer, "lost"));
 }
 
-/// Guards against a reader of the store whom it never failed, and who learnt of the restore from a peer: it takes upstreams of the
-/// lost seconds for gone at once.
+/// Guards against a reader that the store never failed and that learnt of the restore from a peer: it took upstreams
+/// registered in the lost seconds for gone at once.
 #[test]
-fn who_is_told_of_a_restore_waits_for_what_it_has_lost_too() {
+fn a_reader_that_learns_of_a_restore_from_a_peer_keeps_lost_upstreams_too() {
     let mut view = View::default();
     view.read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
     view.take(everything(2, 8, vec![ready("u1", 2, 8)]));
@@ -202,7 +202,7 @@
     assert!(!usable(&view, "lost"));
 }
 
-/// Guards against a copy that is told to be newer than it is, by what was said of another epoch.
+/// Guards against a copy whose age is reported too low because of an update of another epoch.
 #[test]
 fn the_age_of_a_copy_is_that_of_its_own_epoch() {
     let mut view = View::default();
@@ -214,26 +214,26 @@
 }
 
 #[test]
-fn a_router_that_knows_nothing_is_told_everything_and_one_without_epochs_the_stores_own_numbers() {
+fn an_empty_copy_gets_a_full_update_and_a_build_without_epochs_the_stores_own_numbers() {
     let mut view = View::default();
     assert_eq!(view.since(Revision::BEFORE_ALL.into()), None);
     view.take(News::Everything { to: 9, items: Vec::new() });
-    assert!(view.since(Revision::BEFORE_ALL.into()).is_some(), "also of a store that tells no epoch");
+    assert!(view.since(Revision::BEFORE_ALL.into()).is_some(), "also of a store without epochs");
     view.read(at(1), at(1), everything(2, 4, vec![ready("u1", 2, 3)]));
     let News::Everything { to, items } = view.since(0).unwrap().without_epochs() else {
-        panic!("not everything");
+        panic!("not a full update");
     };
     assert_eq!((to, items[0].revision), (4, 3));
 }
 
 quickcheck! {
-    /// However the news of two epochs reach a copy, it ends as the store does.
-    fn copies_end_alike(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>, fork: usize, order: Vec<u8>) -> bool {
-        let evacuation = |epoch: u64, number: usize, (zone, stands): (u8, bool)| {
+    /// In whatever way the updates of two epochs reach the copies, all end with the store's contents.
+    fn copies_converge(before: Vec<(u8, bool)>, after: Vec<(u8, bool)>, fork: usize, order: Vec<u8>) -> bool {
+        let evacuation = |epoch: u64, number: usize, (zone, evacuated): (u8, bool)| {
             let subject = Subject::Evacuation(format!("z{}", zone % 5).parse().unwrap());
-            Item::new(subject, revision(epoch, number as u64), stands.then_some(Value::Evacuation))
+            Item::new(subject, revision(epoch, number as u64), evacuated.then_some(Value::Evacuation))
         };
-        let standing = |epoch: u64, history: &[(u8, bool)]| {
+        let contents = |epoch: u64, history: &[(u8, bool)]| {
             let changes = history.iter().enumerate().map(|(index, change)| evacuation(epoch, index + 1, *change));
             let mut last: Vec<Item> = Vec::new();
             for item in changes {
@@ -253,32 +253,32 @@
             match step % 3 {
                 0 => {
                     let shown = (usize::from(step) % (before.len() + 1)).max(1).min(before.len());
-                    views[to].read(at(now), at(now), standing(1, &before[..shown]));
+                    views[to].read(at(now), at(now), contents(1, &before[..shown]));
                 }
                 1 => {
                     let shown = fork.max(usize::from(step) % (second.len() + 1));
-                    views[to].read(at(now), at(now), standing(2, &second[..shown]));
+                    views[to].read(at(now), at(now), contents(2, &second[..shown]));
                 }
                 _ => {
-                    if let Some(news) = views[from].since(views[to].revision()) {
-                        views[to].take(news);
+                    if let Some(update) = views[from].since(views[to].revision()) {
+                        views[to].take(update);
                     }
                 }
             }
         }
-        let last = standing(2, &second);
+        let last = contents(2, &second);
         views[0].read(at(now + 10), at(now + 10), last.clone());
         let News::Everything { items, .. } = &last else { return false };
-        let wanted: BTreeSet<_> = items.iter().map(|item| format!("{:?}", item.subject)).collect();
+        let expected: BTreeSet<_> = items.iter().map(|item| format!("{:?}", item.subject)).collect();
         let (reader, others) = views.split_first_mut().unwrap();
         for view in others.iter_mut() {
-            if let Some(news) = reader.since(view.revision()) {
-                view.take(news);
+            if let Some(update) = reader.since(view.revision()) {
+                view.take(update);
             }
         }
         views.iter().all(|view| {
             let zones = view.evacuated().map(|zone| format!("{:?}", Subject::Evacuation(zone.clone())));
-            zones.collect::<BTreeSet<_>>() == wanted
+            zones.collect::<BTreeSet<_>>() == expected
         })
     }
 }
@@ -306,34 +306,34 @@
     Item::new(Subject::Rollout("chat".parse().unwrap()), revision(epoch, number), Some(Value::Rollout(record)))
 }
 
-/// Guards against a version that was found bad and is tried again, since the store lost the record of that.
+/// Guards against a version that was rejected and is tried again because the store lost the record of the rejection.
 #[test]
 fn a_roll_out_does_not_go_back_with_the_store() {
-    let bad = Stage::RolledBack(Cause::Failing);
+    let failing = Stage::RolledBack(Cause::Failing);
     let service = "chat".parse().unwrap();
-    // The store has an earlier record, none, one of an earlier order, or one that has come further since.
+    // The restored store has an earlier record, no record, one of an earlier order, or one that has progressed further.
     let restored = [
-        (Some(record(2, 4, 3, Stage::Trial, 2)), (bad, 20), 4),
-        (None, (bad, 20), 0),
-        (Some(record(2, 2, 1, Stage::Completed, 7)), (bad, 20), 2),
-        (Some(record(2, 9, 3, bad, 40)), (bad, 40), 9),
+        (Some(record(2, 4, 3, Stage::Trial, 2)), (failing, 20), 4),
+        (None, (failing, 20), 0),
+        (Some(record(2, 2, 1, Stage::Completed, 7)), (failing, 20), 2),
+        (Some(record(2, 9, 3, failing, 40)), (failing, 40), 9),
     ];
-    for (record_there, wanted, number) in restored {
+    for (restored_record, expected, number) in restored {
         let mut view = View::default();
-        view.read(at(0), at(0), everything(1, 8, vec![order(1, 3), record(1, 8, 3, bad, 20)]));
-        let items = record_there.into_iter().chain([order(2, 3)]).collect();
+        view.read(at(0), at(0), everything(1, 8, vec![order(1, 3), record(1, 8, 3, failing, 20)]));
+        let items = restored_record.into_iter().chain([order(2, 3)]).collect();
         view.read(at(1), at(1), everything(2, 9, items));
-        let (revision_there, kept) = view.rollout(&service).unwrap();
-        assert_eq!((kept.stage, kept.granted), wanted);
-        assert_eq!((kept.order, revision_there), (revision(2, 3), revision(2, number)));
+        let (record_revision, kept) = view.rollout(&service).unwrap();
+        assert_eq!((kept.stage, kept.granted), expected);
+        assert_eq!((kept.order, record_revision), (revision(2, 3), revision(2, number)));
         assert!(view.take_changed().contains(&Subject::Rollout(service.clone())));
     }
 }
 
-/// Guards against a whole copy without its configuration: what was read as it may be old has no number of its own, and a copy without
-/// epochs, taken for a later one, was of no epoch at all.
+/// Guards against a full update without its configuration. Items from a stale read have no revision number of their
+/// own, and a full update without epochs, taken for a later one, belonged to no epoch at all.
 #[test]
-fn a_copy_that_began_with_an_old_read_is_told_whole_and_only_with_its_epoch() {
+fn a_copy_that_began_with_a_stale_read_is_sent_completely_and_only_with_its_epoch() {
     let mut view = View::default();
     assert!(view.take(everything(2, 0, vec![configuration(2, 0, 3), ready("u1", 2, 0)])));
     assert!(view.read(at(0), at(0), everything(2, 9, vec![configuration(2, 7, 3), ready("u1", 2, 8)])));
@@ -342,7 +342,7 @@
     assert_eq!(earlier_build.document().unwrap().version, 3);
     assert!(usable(&earlier_build, "u1"));
     let mut started = View::default();
-    assert!(started.take(News::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }), "all that was read first");
+    assert!(started.take(News::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }), "the items of a stale read");
     assert!(started.take(view.since(0).unwrap().without_epochs()));
     assert_eq!(started.revision(), 0, "of an unknown epoch");
     assert!(started.take(view.since(0).unwrap()));
--- a/crates/stairvale-replica/tests/rollouts.rs
+++ b/crates/stairvale-replica/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! What a copy says of upstreams while a service moves to another version.
+//! Which upstreams a copy reports as usable while a service moves to another version.
 
 #![allow(clippy::unwrap_used)]
 
@@ -55,10 +55,10 @@
     view.is_usable(&name.parse().unwrap())
 }
 
-fn read(view: &mut View, news: News) {
+fn read(view: &mut View, update: News) {
     let revision = view.revision();
     let now = Moment::from_millis(revision + 1);
-    assert!(view.read(now, now, news));
+    assert!(view.read(now, now, update));
 }
 
 fn changes(view: &View, items: Vec<Item>) -> News {
@@ -67,28 +67,29 @@
 }
 
 #[test]
-fn an_upstream_counts_once_the_copy_is_as_new_as_its_entry() {
+fn an_upstream_is_used_once_the_copy_is_as_new_as_its_entry() {
     let mut view = View::default();
-    // Pages are no snapshot: the first was read at 10 and held the orders, the last one later and holds u2.
+    // The pages of a full read aren't a snapshot: the first was read at revision 10 and has the orders, the last was
+    // read later and has u2.
     read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 3, "v1"), upstream("u2", 12, "v2")] });
     assert!(usable(&view, "u1") && !usable(&view, "u2"));
     assert_eq!(view.upstreams().count(), 1);
     assert!(view.upstream(&"u2".parse().unwrap()).is_none());
     view.take_changed();
-    // The order that it came with, and which the first page was too old for.
-    let news = changes(&view, vec![order(11, "v2"), upstream("u2", 12, "v2")]);
-    read(&mut view, news);
-    assert!(usable(&view, "u2"), "the home decides how much it gets");
+    // This is the order for u2's version, which the first page was too old to contain.
+    let update = changes(&view, vec![order(11, "v2"), upstream("u2", 12, "v2")]);
+    read(&mut view, update);
+    assert!(usable(&view, "u2"), "the home limits how much it gets");
     assert!(
         view.take_changed().contains(&Subject::Upstream("u2".parse().unwrap())),
-        "whoever groups upstreams hears of it"
+        "callers that group upstreams are notified"
     );
     assert_eq!(view.upstreams().count(), 2);
     assert_eq!(view.policy(&chat()).unwrap().stage, Stage::Trial);
 }
 
 #[test]
-fn a_change_that_says_nothing_of_it_makes_an_early_upstream_count() {
+fn an_unrelated_update_puts_a_pending_upstream_into_use() {
     let mut view = View::default();
     read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
     assert!(!usable(&view, "u1"));
@@ -97,12 +98,12 @@
 }
 
 #[test]
-fn an_upstream_that_counts_goes_on_counting_when_its_entry_changes() {
+fn an_upstream_in_use_stays_in_use_when_its_entry_changes() {
     let mut view = View::default();
     read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 3, "v1")] });
     read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
-    assert!(usable(&view, "u1"), "a life has one version");
-    // Gone and back, it may be anything.
+    assert!(usable(&view, "u1"), "an incarnation has one version");
+    // An entry that was removed and is written again may have another version.
     assert!(view.take(News::Changes {
         after: 10,
         to: 13,
@@ -116,55 +117,56 @@
 }
 
 #[test]
-fn versions_get_what_their_stage_allows() {
+fn a_version_is_admitted_as_the_stage_of_the_roll_out_allows() {
     let both = || vec![upstream("u1", 1, "v1"), upstream("u2", 3, "v2")];
     let after = |items: Vec<Item>| {
         let mut view = View::default();
         let items = both().into_iter().chain(items).collect();
-        let news = changes(&view, items);
-        read(&mut view, news);
+        let update = changes(&view, items);
+        read(&mut view, update);
         (usable(&view, "u1"), usable(&view, "u2"))
     };
     let rolled_back = Stage::RolledBack(Cause::Failing);
-    assert_eq!(after(vec![]), (true, true), "versions that differ without any order are all used");
-    assert_eq!(after(vec![order(2, "v2")]), (true, true), "the home decides how much");
+    assert_eq!(after(vec![]), (true, true), "without an order all versions are used");
+    assert_eq!(after(vec![order(2, "v2")]), (true, true), "the home limits how much it gets");
     assert_eq!(after(vec![order(2, "v2"), record(4, 2, "v2", Stage::Trial)]), (true, true));
     assert_eq!(after(vec![order(2, "v2"), record(4, 2, "v2", Stage::Moving)]), (true, true));
     assert_eq!(after(vec![order(2, "v2"), record(4, 2, "v2", Stage::Completed)]), (false, true));
     assert_eq!(after(vec![order(2, "v2"), record(4, 2, "v2", rolled_back)]), (true, false));
-    // The order was taken away: rolled back, whoever wrote it or not yet.
+    // The order was withdrawn: the version counts as rolled back, whether or not that is recorded yet.
     assert_eq!(after(vec![record(4, 2, "v2", Stage::Moving)]), (true, false));
-    // Another version was ordered in the middle.
+    // Another version was ordered during the roll-out.
     assert_eq!(after(vec![record(4, 2, "v2", Stage::Trial), order(5, "v3")]), (true, false));
-    // What was completed stays, also without its order.
+    // A completed roll-out stays in force without its order.
     assert_eq!(after(vec![record(4, 2, "v2", Stage::Completed)]), (false, true));
 }
 
 #[test]
-fn an_older_record_or_order_never_comes_back() {
+fn an_older_record_or_order_never_replaces_a_newer_one() {
     let mut view = View::default();
     let rolled_back = record(9, 2, "v2", Stage::RolledBack(Cause::Slow));
-    let news = changes(&view, vec![upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back]);
-    read(&mut view, news);
+    let update = changes(&view, vec![upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back]);
+    read(&mut view, update);
     assert!(!usable(&view, "u2"));
     let old = vec![order(2, "v2"), record(5, 2, "v2", Stage::Moving), upstream("u2", 3, "v2")];
     assert!(view.take(News::Changes { after: 2, to: 5, items: old.clone() }));
     assert!(view.take(News::Everything { to: 5, items: old }));
     assert!(!usable(&view, "u2"));
     assert_eq!(view.rollout(&chat()).unwrap().0, 9);
-    // An older list that lacks it says nothing either.
+    // An older full update without the record changes nothing either.
     assert!(view.take(News::Everything { to: 4, items: vec![order(2, "v2")] }));
     assert_eq!(view.rollout(&chat()).unwrap().0, 9);
     assert_eq!(view.rollouts().collect::<std::collections::BTreeSet<_>>().len(), 1);
 }
 
-/// A record that can't be read is missing where everything is read. Nobody takes one away, so the one that was known stands.
+/// A record that can't be read is missing from a full update. Records are never removed from the store, so the recorded
+/// one stays in force.
 #[test]
-fn a_whole_read_without_a_record_does_not_open_what_it_closed() {
+fn a_full_update_without_a_record_does_not_undo_a_rollback() {
     let mut view = View::default();
     let rolled_back = record(9, 2, "v2", Stage::RolledBack(Cause::Slow));
-    let news = changes(&view, vec![upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back]);
-    read(&mut view, news);
+    let update = changes(&view, vec![upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back]);
+    read(&mut view, update);
     let items = vec![upstream("u1", 1, "v1"), upstream("u2", 3, "v2")];
     read(&mut view, News::Everything { to: 20, items });
     assert!(usable(&view, "u1") && !usable(&view, "u2"));
@@ -172,18 +174,19 @@
 }
 
 quickcheck! {
-    /// In whatever order and however often news of one history come, what came first with a newer version never counts before the
-    /// order that is older than it is known.
-    fn no_upstream_goes_before_its_order(steps: Vec<(bool, u8, u8)>) -> bool {
-        // 1: u1 of v1; 2: the order; 3: u2 of v2; 4: the record says rolled back; 5: u3 of v2.
+    /// However often and in whatever order updates from one history arrive, an upstream of a newer version is never
+    /// used before the order that precedes it is recorded.
+    fn no_upstream_is_used_before_its_order(steps: Vec<(bool, u8, u8)>) -> bool {
+        // Revisions: 1 is u1 of v1; 2 is the order; 3 is u2 of v2; 4 is the record of the rollback; 5 is u3 of v2.
         let rolled_back = record(4, 2, "v2", Stage::RolledBack(Cause::Failing));
         let history =
             [upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back, upstream("u3", 5, "v2")];
         let mut view = View::default();
-        for (whole, from, to) in steps {
+        for (full, from, to) in steps {
             let (from, to) = (u64::from(from % 6), u64::from(to % 6));
-            if whole {
-                // The page with orders is as of `from`, the one with upstreams as of `to`, and what is said is the earlier one.
+            if full {
+                // The page with orders is as of `from` and the one with upstreams as of `to`; the update states the
+                // earlier revision.
                 let held = |item: &&Item| {
                     let at = if matches!(item.subject, Subject::Upstream(_)) { to } else { from };
                     item.revision <= at
--- a/crates/stairvale-replica/tests/view.rs
+++ b/crates/stairvale-replica/tests/view.rs
@@ -1,4 +1,5 @@
-//! A copy never goes back, knows its age, and tells a lapse from a leave.
+//! A copy's revision never goes back, its age is known, and an entry that expired while the store was failing is told
+//! apart from one that was removed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,32 +33,32 @@
     Item::new(Subject::Configuration, revision, Some(Value::Configuration(Arc::new(document))))
 }
 
-fn evacuation(revision: u64, stands: bool) -> Item {
-    Item::new(Subject::Evacuation("a".parse().unwrap()), revision, stands.then_some(Value::Evacuation))
+fn evacuation(revision: u64, evacuated: bool) -> Item {
+    Item::new(Subject::Evacuation("a".parse().unwrap()), revision, evacuated.then_some(Value::Evacuation))
 }
 
 #[test]
-fn an_evacuation_holds_for_what_lapsed_too_and_until_it_is_taken_back() {
+fn an_evacuation_covers_expired_upstreams_and_holds_until_it_ends() {
     let mut view = View::default();
-    let e = |name: &str| name.parse::<id::Upstream>().unwrap();
+    let id = |name: &str| name.parse::<id::Upstream>().unwrap();
     let ready = |name, revision| item(name, revision, Some(State::Ready));
     assert!(view.read(at(0), at(0), changes(0, vec![ready("u1", 1), ready("u2", 2)])));
     view.disturb(at(10));
     assert!(view.read(at(20), at(15), changes(2, vec![item("u1", 3, None)])));
-    assert!(view.is_usable(&e("u1")) && view.is_usable(&e("u2")));
+    assert!(view.is_usable(&id("u1")) && view.is_usable(&id("u2")));
     assert!(view.take(changes(3, vec![evacuation(4, true)])));
-    assert!(!view.is_usable(&e("u1")) && !view.is_usable(&e("u2")));
+    assert!(!view.is_usable(&id("u1")) && !view.is_usable(&id("u2")));
     assert_eq!(view.evacuated().count(), 1);
-    // A peer whose copy is older says nothing against it, nor does a list that is.
+    // An older incremental or full update doesn't undo the evacuation.
     assert!(view.take(News::Everything { to: 3, items: vec![ready("u2", 2)] }));
-    assert!(!view.is_usable(&e("u2")));
-    // The store has forgotten its history, and the evacuation was taken back in the meantime.
+    assert!(!view.is_usable(&id("u2")));
+    // The store has compacted its history, and the evacuation was ended in the meantime.
     assert!(view.take(News::Everything { to: 9, items: vec![ready("u2", 2)] }));
-    assert!(view.is_usable(&e("u2")));
+    assert!(view.is_usable(&id("u2")));
     assert!(view.take(changes(9, vec![evacuation(10, true)])));
-    assert!(!view.is_usable(&e("u2")));
+    assert!(!view.is_usable(&id("u2")));
     assert!(view.take(changes(10, vec![evacuation(11, false)])));
-    assert!(view.is_usable(&e("u2")));
+    assert!(view.is_usable(&id("u2")));
 }
 
 fn changes(after: u64, items: Vec<Item>) -> News {
@@ -79,13 +80,13 @@
     assert!(view.take(News::Everything { to: 5, items: vec![configuration(7, 5)] }));
     assert!(view.take(changes(5, vec![configuration(3, 6)])));
     assert_eq!(view.document().unwrap().version, 7);
-    // A list without it is incomplete rather than a removal.
+    // A full update without the configuration is incomplete; it doesn't remove the configuration.
     assert!(view.take(News::Everything { to: 9, items: Vec::new() }));
     assert_eq!(view.document().unwrap().version, 7);
 }
 
 #[test]
-fn changes_that_skip_something_are_refused() {
+fn changes_that_leave_a_gap_are_rejected() {
     let mut view = View::default();
     assert!(view.take(changes(0, vec![item("e1", 3, Some(State::Ready))])));
     assert!(!view.take(changes(4, vec![item("e2", 5, Some(State::Ready))])));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_in_calm_times_is_gone() {
+fn an_entry_that_is_removed_while_the_store_works_is_gone() {
     let mut view = View::default();
     view.take(changes(0, vec![item("e1", 1, Some(State::Ready))]));
     view.take(changes(1, vec![item("e1", 2, None)]));
@@ -101,42 +102,42 @@
 }
 
 #[test]
-fn an_entry_that_lapses_with_the_store_is_back_or_gone_soon_after() {
+fn an_entry_that_expires_with_the_store_is_dropped_unless_it_registers_again() {
     let mut view = View::default();
     let first = changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Draining))]);
     view.read(at(0), at(0), first);
     view.disturb(at(1_000));
     view.read(at(1_100), at(1_100), changes(2, vec![item("e1", 3, None), item("e2", 4, None)]));
-    assert!(usable(&view, "e1"), "the store was disturbed, so its absence says nothing yet");
-    assert!(!usable(&view, "e2"), "it was leaving before");
+    assert!(usable(&view, "e1"), "the store was failing, so the removal is inconclusive");
+    assert!(!usable(&view, "e2"), "it was draining before");
     view.read(at(2_000), at(2_000), changes(4, Vec::new()));
     assert!(!view.tick(at(2_000)));
     view.read(at(4_000), at(4_000), changes(4, Vec::new()));
-    assert!(view.tick(at(4_000)), "the store has been back long enough");
+    assert!(view.tick(at(4_000)), "the store has worked again for long enough");
     assert!(!usable(&view, "e1"));
 }
 
 #[test]
-fn a_reader_whom_the_store_does_not_fail_decides() {
-    let (mut cut, mut sound) = (View::default(), View::default());
-    for view in [&mut cut, &mut sound] {
+fn a_removal_read_without_store_failures_is_conclusive_for_all() {
+    let (mut failed, mut stable) = (View::default(), View::default());
+    for view in [&mut failed, &mut stable] {
         view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
     }
-    cut.disturb(at(5_000));
-    sound.read(at(5_100), at(5_100), changes(1, vec![item("e1", 2, None)]));
-    assert!(!usable(&sound, "e1"), "another router's trouble is not the store's");
-    // What the sound one tells is relied upon, also where the store failed.
-    assert!(cut.take(sound.since(1).unwrap()));
-    assert!(!usable(&cut, "e1"));
+    failed.disturb(at(5_000));
+    stable.read(at(5_100), at(5_100), changes(1, vec![item("e1", 2, None)]));
+    assert!(!usable(&stable, "e1"), "a failure that another router observed doesn't make this removal inconclusive");
+    // An update from the router that the store didn't fail is conclusive, also at the router that it failed.
+    assert!(failed.take(stable.since(1).unwrap()));
+    assert!(!usable(&failed, "e1"));
 }
 
 #[test]
-fn a_peer_that_reads_in_calm_ends_a_lapse() {
+fn a_reader_with_a_stable_store_makes_peers_drop_expired_upstreams() {
     let mut view = View::default();
     view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
     view.disturb(at(100));
     view.read(at(200), at(200), changes(1, vec![item("e1", 2, None)]));
-    assert!(!view.settle_lapses(None), "who doesn't read can't tell");
+    assert!(!view.settle_lapses(None), "a router that doesn't read the store can't decide");
     assert!(!view.settle_lapses(Some(Duration::from_millis(500))));
     assert!(usable(&view, "e1"));
     assert!(view.settle_lapses(Some(Duration::from_secs(9))));
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_takes_the_place_of_its_lapse() {
+fn an_entry_that_registers_again_replaces_its_expired_one() {
     let mut view = View::default();
     view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
     view.disturb(at(100));
@@ -157,19 +158,19 @@
 }
 
 #[test]
-fn a_list_removes_what_it_does_not_name() {
+fn a_full_update_removes_items_that_it_does_not_contain() {
     let mut view = View::default();
     view.take(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
     view.take(News::Everything { to: 9, items: vec![item("e2", 2, Some(State::Ready))] });
     assert!(!usable(&view, "e1"));
     assert!(usable(&view, "e2"));
-    // An older list, late: it takes nothing back.
+    // An older full update that arrives late brings nothing back.
     view.take(News::Everything { to: 1, items: vec![item("e1", 1, Some(State::Ready))] });
     assert!(!usable(&view, "e1"));
 }
 
 #[test]
-fn age_counts_from_the_latest_proof() {
+fn age_counts_from_the_latest_confirmation() {
     let mut view = View::default();
     assert_eq!(view.age(at(5)), None);
     view.confirm(at(100));
@@ -178,20 +179,20 @@
 }
 
 #[test]
-fn a_peer_may_vouch_for_a_time_before_this_process_began() {
+fn a_peer_may_confirm_a_time_before_this_process_started() {
     let mut view = View::default();
     assert!(!view.is_confirmed());
     view.confirm_by_peer(at(20), Duration::from_millis(500));
     assert!(view.is_confirmed());
     assert_eq!(view.age(at(50)), Some(Duration::from_millis(530)));
-    // An older word changes nothing, a newer one does.
+    // An older confirmation changes nothing, a newer one does.
     view.confirm_by_peer(at(30), Duration::from_millis(900));
     assert_eq!(view.age(at(50)), Some(Duration::from_millis(530)));
     view.confirm_by_peer(at(40), Duration::from_millis(100));
     assert_eq!(view.age(at(50)), Some(Duration::from_millis(110)));
 }
 
-/// What happens to a few upstreams, in the store's order.
+/// Changes of a few upstreams, in the store's order.
 #[derive(Clone, Debug)]
 struct History(Vec<(u8, Option<State>)>);
 
@@ -211,23 +212,23 @@
 }
 
 #[test]
-fn upstreams_that_come_and_go_for_good_leave_bounded_memory_and_do_not_come_back() {
+fn removed_upstreams_take_bounded_memory_and_do_not_come_back() {
     let mut view = View::default();
-    for life in 0..30_000_u64 {
-        let name = format!("e{life}");
-        let items = vec![item(&name, 2 * life + 1, Some(State::Ready)), item(&name, 2 * life + 2, None)];
-        assert!(view.take(changes(2 * life, items)));
+    for number in 0..30_000_u64 {
+        let name = format!("e{number}");
+        let items = vec![item(&name, 2 * number + 1, Some(State::Ready)), item(&name, 2 * number + 2, None)];
+        assert!(view.take(changes(2 * number, items)));
         view.take_changed();
     }
-    assert!(view.remembered() < 10_000, "{}", view.remembered());
-    // A peer whose copy is from long ago names some of them.
+    assert!(view.retained_entries() < 10_000, "{}", view.retained_entries());
+    // An old update from a peer contains one of the removed upstreams.
     let old = News::Everything { to: 50, items: vec![item("e2", 5, Some(State::Ready))] };
     assert!(view.take(old));
     assert_eq!(view.upstreams().count(), 0);
 }
 
 #[test]
-fn what_changed_is_told_once() {
+fn each_change_is_reported_once() {
     let mut view = View::default();
     view.take(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
     assert_eq!(view.take_changed().len(), 2);
@@ -237,7 +238,7 @@
 }
 
 quickcheck! {
-    /// Two copies, one of which lagged anywhere, agree after one exchange.
+    /// Two copies, one of which lags by any number of changes, agree after one exchange.
     fn a_copy_that_lags_catches_up(history: History, lag: usize) -> bool {
         let items = history.items();
         let lag = if items.is_empty() { 0 } else { lag % items.len() };
@@ -246,15 +247,15 @@
             ahead.take(changes(after as u64, vec![one.clone()]));
         }
         behind.take(changes(0, items[..lag].to_vec()));
-        if let Some(news) = ahead.since(behind.revision()) && !behind.take(news) {
+        if let Some(update) = ahead.since(behind.revision()) && !behind.take(update) {
             return false;
         }
         let names = ["e0", "e1", "e2", "e3"];
         names.iter().all(|name| usable(&ahead, name) == usable(&behind, name)) && ahead.revision() == behind.revision()
     }
 
-    /// News that come twice, late and out of order leave what the store said last.
-    fn order_does_not_matter(history: History, shuffle: Vec<u8>) -> bool {
+    /// Updates that arrive twice, late or out of order leave the copy with the store's last change.
+    fn updates_apply_in_any_order(history: History, shuffle: Vec<u8>) -> bool {
         let items = history.items();
         let mut view = View::default();
         for index in shuffle {
@@ -274,10 +275,10 @@
     }
 }
 
-/// A whole copy of so many upstreams of a few services and zones, beside a configuration.
-fn whole(upstreams: usize) -> News {
+/// A full update with this many upstreams of a few services and zones, beside a configuration.
+fn full_update(upstreams: usize) -> News {
     let zones = ["north-a", "north-b", "south-a"];
-    let named = (0..upstreams).map(|number| {
+    let upstream_items = (0..upstreams).map(|number| {
         let name = format!("i-{number:010x}");
         let id: id::Upstream = name.parse().unwrap();
         let value = Value::Upstream(Upstream {
@@ -292,65 +293,66 @@
         });
         Item { sure: number % 11 > 0, ..Item::new(Subject::Upstream(id), number as u64 + 10, Some(value)) }
     });
-    let items = [configuration(3, 7), evacuation(8, true)].into_iter().chain(named).collect();
+    let items = [configuration(3, 7), evacuation(8, true)].into_iter().chain(upstream_items).collect();
     News::Everything { to: 90_000, items }
 }
 
 #[test]
-fn what_is_written_of_a_whole_copy_is_what_is_read() {
+fn a_full_update_decodes_as_it_was_encoded() {
     for upstreams in [0, 1, 100, 3_000] {
-        let news = whole(upstreams);
-        let bytes = stairvale_wire::codec::pack(&news).unwrap();
-        assert_eq!(stairvale_wire::codec::unpack::<News>(&bytes).unwrap(), news);
-        let News::Everything { items, .. } = &news else { unreachable!() };
+        let update = full_update(upstreams);
+        let bytes = stairvale_wire::codec::pack(&update).unwrap();
+        assert_eq!(stairvale_wire::codec::unpack::<News>(&bytes).unwrap(), update);
+        let News::Everything { items, .. } = &update else { unreachable!() };
         let apart = stairvale_wire::codec::pack(items).unwrap().len();
-        let told = format!("{} bytes for {upstreams} upstreams, {apart} one by one", bytes.len());
-        assert!(bytes.len() < 200 + upstreams * 36, "{told}");
-        assert!(upstreams < 100 || bytes.len() * 2 < apart, "{told}");
+        let sizes = format!("{} bytes for {upstreams} upstreams, {apart} one by one", bytes.len());
+        assert!(bytes.len() < 200 + upstreams * 36, "{sizes}");
+        assert!(upstreams < 100 || bytes.len() * 2 < apart, "{sizes}");
     }
 }
 
 quickcheck! {
-    /// No bytes make a router stumble that reads them as news.
-    fn any_bytes_are_news_or_none(bytes: Vec<u8>, cut: usize) -> bool {
-        let whole = stairvale_wire::codec::pack(&whole(3)).unwrap();
-        let spoilt: Vec<u8> = whole.iter().enumerate().map(|(at, byte)| {
+    /// Decoding arbitrary bytes as an update doesn't panic.
+    fn arbitrary_bytes_decode_without_panic(bytes: Vec<u8>, cut: usize) -> bool {
+        let encoded = stairvale_wire::codec::pack(&full_update(3)).unwrap();
+        let corrupted: Vec<u8> = encoded.iter().enumerate().map(|(at, byte)| {
             let other = bytes.get(at).copied().unwrap_or_default();
             if at % 13 == cut % 13 { *byte ^ other } else { *byte }
         }).collect();
-        let _ = stairvale_wire::codec::unpack::<News>(&spoilt);
+        let _ = stairvale_wire::codec::unpack::<News>(&corrupted);
         let _ = stairvale_wire::codec::unpack::<News>(&bytes);
         true
     }
 }
 
-/// Lives of one name: the present one is that of the newest entry, whichever copy says so first.
+/// Of several incarnations of one name, the current one is that of the newest entry, whichever copy delivers it first.
 #[test]
-fn of_two_lives_of_a_name_only_the_newest_entry_counts() {
+fn of_two_incarnations_of_a_name_only_the_newest_entry_counts() {
     let entry = |revision, start: u64| {
         let value = upstream(&format!("e0@{start}"), State::Ready);
         Item::new(Subject::Upstream("e0".parse().unwrap()), revision, Some(value))
     };
     let mut view = View::default();
     view.take(News::Everything { to: 5, items: vec![entry(5, 2_000)] });
-    let (earlier, present) = ("e0@1000".parse().unwrap(), "e0@2000".parse().unwrap());
-    assert!(view.is_usable(&present) && !view.is_usable(&earlier) && !view.is_usable(&"e0".parse().unwrap()));
-    // An older copy, as of a router that was cut off, doesn't bring the earlier life back.
+    let (previous, current) = ("e0@1000".parse().unwrap(), "e0@2000".parse().unwrap());
+    assert!(view.is_usable(&current) && !view.is_usable(&previous) && !view.is_usable(&"e0".parse().unwrap()));
+    // An older update, as from a router that was partitioned, doesn't bring the earlier incarnation back.
     view.take(News::Changes { after: 3, to: 4, items: vec![entry(4, 1_000)] });
-    assert!(view.is_usable(&present) && !view.is_usable(&earlier));
-    // What a lapsed entry said of an earlier life ends with the next one.
+    assert!(view.is_usable(&current) && !view.is_usable(&previous));
+    // An expired entry no longer keeps its incarnation in use once the next incarnation registers.
     view.disturb(Moment::from_millis(10));
     let gone = Item { sure: false, ..Item::new(Subject::Upstream("e0".parse().unwrap()), 6, None) };
     view.take(News::Changes { after: 5, to: 6, items: vec![gone] });
-    assert!(view.is_usable(&present), "it may be back");
+    assert!(view.is_usable(&current), "it may register again");
     view.take(News::Changes { after: 6, to: 7, items: vec![entry(7, 3_000)] });
-    assert!(!view.is_usable(&present) && view.is_usable(&"e0@3000".parse().unwrap()));
+    assert!(!view.is_usable(&current) && view.is_usable(&"e0@3000".parse().unwrap()));
 }
 
-/// Each router looks several times a second which routers the store names. In a copy of 10,000 upstreams it went through all of
-/// them to find thirty names, at each of a thousand routers, and twice more whenever a router came or went.
+/// Each router scans several times a second for the routers registered in the store. In a copy of 10,000 upstreams it
+/// passed all of them to find thirty names, at each of a thousand routers, and twice more whenever a router came or
+/// went.
 #[test]
-fn what_is_no_upstream_stands_before_all_upstreams() {
+fn upstreams_sort_after_all_other_subjects() {
     let mut subjects = [
         Subject::Upstream("0".parse().unwrap()),
         Subject::Quarantine(id::Fingerprint(u64::MAX)),
@@ -368,10 +370,11 @@
     assert_eq!(upstreams.len(), 2);
 }
 
-/// 10,000 upstreams that register with a fleet are as many changes in a few seconds. A copy that lagged by more than 512 of them was
-/// told everything again, as often as each second: 985 routers sent each other 4.1 GB so, a quarter of it between zones.
+/// 10,000 upstreams that register with a fleet make as many changes in a few seconds. A copy that lagged by more than
+/// 512 of them was sent a full update again, as often as each second: 985 routers sent each other 4.1 GB in this way, a
+/// quarter of it between zones.
 #[test]
-fn a_copy_that_lags_by_thousands_of_changes_is_told_these_alone() {
+fn a_copy_that_lags_by_thousands_of_changes_is_sent_only_these() {
     const KNOWN: u64 = 6_000;
     const CHANGED: u64 = 2_000;
     let mut view = View::default();
@@ -385,15 +388,17 @@
         let items = vec![item(&format!("u{number}"), revision, state)];
         assert!(view.take(News::Changes { after: revision - 1, to: revision, items }));
     }
-    let news = view.since(lagging.revision()).unwrap();
-    let News::Changes { items, .. } = &news else {
-        panic!("told everything");
+    let update = view.since(lagging.revision()).unwrap();
+    let News::Changes { items, .. } = &update else {
+        panic!("a full update was sent");
     };
     assert_eq!(items.len() as u64, CHANGED);
-    assert!(lagging.take(news));
-    let known = |view: &View| view.upstreams().map(|(known, at)| (known.clone(), at)).collect::<Vec<_>>();
-    assert_eq!(known(&lagging), known(&view));
-    // What was known before the copy that this one began with can't be told apart from what has gone by then.
+    assert!(lagging.take(update));
+    let upstreams =
+        |view: &View| view.upstreams().map(|(upstream, revision)| (upstream.clone(), revision)).collect::<Vec<_>>();
+    assert_eq!(upstreams(&lagging), upstreams(&view));
+    // Below the revision that this copy began with, it can't distinguish removed items from ones that never existed, so
+    // it sends a full update.
     assert!(matches!(lagging.since(KNOWN - 1), Some(News::Everything { .. })));
     assert!(matches!(lagging.since(KNOWN), Some(News::Changes { .. })));
 }
