--- a/crates/stairvale-membership/src/lib.rs
+++ b/crates/stairvale-membership/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which routers live, and which upstreams may take work.
+//! Which routers are alive, and which upstreams may be sent work.
 //!
-//! [`Swim`] probes a few random peers and spreads what it learns by datagrams, by the rules of the SWIM paper.
-//! [`Upstreams`] keeps what is known of each upstream and orders the evidence: the upstream's own word, then connection
+//! [`Swim`] probes a few random peers and disseminates what it observes by datagrams, by the rules of the SWIM paper.
+//! [`Upstreams`] records the state of each upstream and ranks the evidence: the upstream's own reports, then connection
 //! results, then the platform's lagging list. Both are pure.
 //!
 //! ```
--- a/crates/stairvale-membership/src/swim.rs
+++ b/crates/stairvale-membership/src/swim.rs
@@ -1,4 +1,5 @@
-//! Failure detection and dissemination among routers: SWIM (Das, Gupta, Motivala, 2002) with suspicion and incarnations.
+//! Failure detection and dissemination among routers: SWIM (Das, Gupta, Motivala, 2002) with suspicion and incarnation
+//! numbers.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -10,21 +11,22 @@
 mod gossip;
 mod probe;
 
-/// How often and how patiently peers are probed.
+/// The intervals and timeouts by which peers are probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// One peer is probed every so often.
+    /// Interval between probes, each of which goes to one peer.
     pub every: Duration,
-    /// After this long without an answer others are asked to probe.
+    /// Time without an answer after which other routers are requested to probe the peer.
     pub timeout: Duration,
-    /// How many others.
+    /// Number of other routers that are requested to probe the peer.
     pub helpers: usize,
-    /// A suspect that doesn't refute within this time is dead to whoever suspected it first.
+    /// Time in which a suspect must refute. After it the router that suspected it first declares it dead.
     pub suspicion: Duration,
 }
 
 impl Default for Settings {
-    /// 200 ms between probes, and a second from the first that fails to a death: with 9 routers it is known within about 2 s.
+    /// 200 ms between probes, and a second from the first one that fails to the declaration of death: with 9 routers a
+    /// death is known within about 2 s.
     fn default() -> Self {
         Self {
             every: Duration::from_millis(200),
@@ -35,55 +37,58 @@
     }
 }
 
-/// A dead router is remembered this long, so that old news doesn't bring it back.
-const BURIAL: Duration = Duration::from_secs(600);
-/// A router that was held for dead and answers again isn't believed for this long when it says that others are: on its side of
-/// a cut they were. By then the others have told it that they live: each knocks at a dead router once a second.
-const RETURNED: Duration = Duration::from_secs(5);
-/// Probes in a row that a router must leave unanswered before it is suspected: a small VM that takes over a configuration stands
-/// still for longer than one of them takes.
-const MISSED: u8 = 2;
-/// Who only heard of a suspicion waits this many times as long for what comes of it. Its accuser says so a second later, or the
-/// suspect has refuted it; but in a fleet of hundreds either takes seconds to reach all, and those whose patience ended before
-/// would hold a router for dead that lives. Only where the accuser itself is lost does a death take that long to be known.
-const HEARSAY: u32 = 4;
-/// One probe in this many goes to a dead router, so that two sides of a healed cut find each other again.
-const REVIVE_EVERY: u64 = 5;
-/// News is passed on this many times the logarithm of the fleet's size.
-const SPREAD: u32 = 4;
-/// The routers of a zone together pass news on to other zones this many times as often as one of them passes it on at all: each
-/// zone hears it several times from each other one, and then tells itself.
+/// How long a router that is dead or has left stays on record, so that old gossip doesn't bring it back.
+const DEAD_RETENTION: Duration = Duration::from_secs(600);
+/// How long a router that was declared dead and answers again isn't believed when it reports others as suspect or dead:
+/// they were unreachable from its side of a network partition. By the end of this period the others have informed it
+/// that they are alive, since each pings a dead router once a second.
+const REJOIN_DISTRUST_PERIOD: Duration = Duration::from_secs(5);
+/// Consecutive unanswered probes after which a router is suspected. One isn't enough, because a small VM that applies a
+/// configuration pauses for longer than a probe takes.
+const MISSED_PROBES_TO_SUSPECT: u8 = 2;
+/// A router that learned of a suspicion by gossip waits this many times the suspicion timeout. The router that
+/// suspected first reports the outcome a second later, or the suspect has refuted it. In a fleet of hundreds, however,
+/// either takes seconds to reach all routers, and those with a shorter timeout would declare a live router dead. A
+/// death takes this long to be known only where the router that suspected first is lost itself.
+const GOSSIPED_SUSPICION_FACTOR: u32 = 4;
+/// One probe in this many is accompanied by a ping to a dead router, so that the two sides of a healed network
+/// partition find each other again.
+const PROBES_PER_DEAD_PING: u64 = 5;
+/// An update is piggybacked this many times the binary logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: u32 = 4;
+/// The routers of a zone together send an update to other zones this many times as often as one of them sends it at
+/// all. Each zone receives it several times from each other zone, and then disseminates it itself.
 const CROSS_ZONE_COPIES: u32 = 2;
-/// Peers that are told at once about something important.
-const RUMOUR: usize = 3;
+/// Number of peers that an urgent update is sent to at once.
+const URGENT_FANOUT: usize = 3;
 
-/// What to do.
+/// An action for the caller to take, or a change that it is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// To this address.
+        /// The receiver's address.
         to: SocketAddr,
-        /// This packet.
+        /// The packet to send.
         packet: Packet,
     },
-    /// A router is known now, or is known anew, to live.
+    /// A router is alive that was unknown, dead or leaving before, or it is alive in a new incarnation.
     Joined(id::Router),
     /// A router is confirmed dead.
     Died(id::Router),
-    /// A router stops as planned.
+    /// A router shuts down as planned.
     Leaves(id::Router),
-    /// News of an upstream came in.
+    /// A status report of an upstream was received.
     Upstream(Word),
-    /// A peer has another generation or list of VMs.
+    /// A packet stated which generation, list of VMs and upstream reports a peer has.
     Versions {
         /// The peer.
         from: id::Router,
-        /// Its configuration's generation.
+        /// The generation of the peer's configuration.
         generation: u64,
-        /// Its list's revision.
+        /// The revision of the peer's list of VMs.
         vms: u64,
-        /// The digest of the words it knows.
+        /// The digest of the peer's upstream reports.
         words: u64,
     },
 }
@@ -91,21 +96,21 @@
 #[derive(Clone, Debug)]
 struct Peer {
     member: Member,
-    since: Moment,
-    /// When it answered again after it was held for dead.
-    returned: Option<Moment>,
-    /// Probes of this router in a row that it left unanswered.
-    missed: u8,
+    status_since: Moment,
+    /// When the router answered again after it had been declared dead.
+    returned_at: Option<Moment>,
+    /// Consecutive probes by this router that the peer left unanswered.
+    missed_probes: u8,
 }
 
 impl Peer {
-    fn new(member: Member, since: Moment) -> Self {
-        Self { member, since, returned: None, missed: 0 }
+    fn new(member: Member, status_since: Moment) -> Self {
+        Self { member, status_since, returned_at: None, missed_probes: 0 }
     }
 
-    /// Whether this router suspects it by probes of its own, and not by hearsay.
-    fn is_accused(&self) -> bool {
-        self.member.status == Status::Suspect && self.missed >= MISSED
+    /// Whether this router suspects the peer because of its own probes, rather than by gossip.
+    fn is_suspected_directly(&self) -> bool {
+        self.member.status == Status::Suspect && self.missed_probes >= MISSED_PROBES_TO_SUSPECT
     }
 }
 
@@ -114,53 +119,53 @@
     target: id::Router,
     number: u64,
     sent: Moment,
-    helped: bool,
+    indirect_requested: bool,
 }
 
-/// A probe made for another router.
+/// A probe made at the request of another router.
 #[derive(Clone, Debug)]
-struct Favour {
+struct ForwardedProbe {
     number: u64,
-    theirs: u64,
-    asker: SocketAddr,
-    until: Moment,
+    requester_number: u64,
+    requester: SocketAddr,
+    deadline: Moment,
 }
 
 #[derive(Clone, Debug)]
-struct News {
+struct QueuedUpdate {
     update: Update,
-    /// How often it is still passed on...
-    left: u32,
-    /// ... and of these to other zones at most.
-    far: u32,
+    /// How often the update is still to be sent.
+    remaining: u32,
+    /// How many of these transmissions may still go to other zones.
+    remaining_cross_zone: u32,
 }
 
-/// One router's view of the others.
+/// One router's view of the fleet's membership.
 #[derive(Debug)]
 pub struct Swim {
     me: Member,
     settings: Settings,
     peers: BTreeMap<id::Router, Peer>,
     seeds: Vec<SocketAddr>,
-    round: Vec<id::Router>,
+    probe_round: Vec<id::Router>,
     probe: Option<Probe>,
-    /// The second probe of who left the first one unanswered.
-    second: Option<Probe>,
-    favours: Vec<Favour>,
-    news: Vec<News>,
+    /// The second probe of a peer that left its first one unanswered.
+    second_probe: Option<Probe>,
+    forwarded_probes: Vec<ForwardedProbe>,
+    gossip_queue: Vec<QueuedUpdate>,
     next_probe: Moment,
-    number: u64,
+    probe_number: u64,
     rng: ChaCha8Rng,
     generation: u64,
     vms: u64,
-    words: u64,
-    heard: Moment,
-    /// Rises with each change of what is known of the routers.
+    upstream_digest: u64,
+    last_received: Moment,
+    /// Rises with each change of the recorded state of a router.
     revision: u64,
 }
 
 impl Swim {
-    /// A router that knows nobody yet. `seed` decides all its random choices.
+    /// A router without any peers yet. `seed` determines all its random choices.
     #[must_use]
     pub fn new(me: Member, settings: Settings, seed: u64) -> Self {
         Self {
@@ -168,23 +173,23 @@
             settings,
             peers: BTreeMap::new(),
             seeds: Vec::new(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             probe: None,
-            second: None,
-            favours: Vec::new(),
-            news: Vec::new(),
+            second_probe: None,
+            forwarded_probes: Vec::new(),
+            gossip_queue: Vec::new(),
             next_probe: Moment::ZERO,
-            number: 0,
+            probe_number: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             generation: 0,
             vms: 0,
-            words: 0,
-            heard: Moment::ZERO,
+            upstream_digest: 0,
+            last_received: Moment::ZERO,
             revision: 0,
         }
     }
 
-    /// Sets addresses to try while no peer is known.
+    /// Sets addresses that are pinged as long as no peer is known there.
     #[must_use]
     pub fn with_seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
         self.seeds = seeds;
@@ -194,51 +199,51 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// This router.
+    /// This router's own entry.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// All routers that are not known to be dead or leaving, this one included.
+    /// All routers that are not recorded as dead or leaving, this one included.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         let peers = self.peers.values().map(|peer| &peer.member);
         peers.chain(std::iter::once(&self.me)).filter(|member| is_live(member.status))
     }
 
-    /// All routers that are known, dead ones included, this one excluded.
+    /// All routers on record, dead ones included, this one excluded.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
 
-    /// Whether there is nobody to look for: no peer, and no seed but this router itself.
+    /// Whether there is no other router to contact: no peer, and no seed except this router itself.
     #[must_use]
     pub fn is_alone(&self) -> bool {
         self.peers.is_empty() && self.seeds.iter().all(|seed| *seed == self.me.address)
     }
 
-    /// A peer.
+    /// The entry of a peer.
     #[must_use]
     pub fn peer(&self, router: &id::Router) -> Option<&Member> {
         self.peers.get(router).map(|peer| &peer.member)
     }
 
-    /// A number that rises with each change of what is known of the routers.
+    /// A counter that rises with each change of the recorded state of a router.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// When a packet came in last.
+    /// When the last packet was received.
     #[must_use]
     pub fn heard(&self) -> Moment {
-        self.heard
+        self.last_received
     }
 
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// The list of VMs names a router; the first packet will tell whether it lives.
+    /// Adds a router's address from the list of VMs. Its first packet shows whether the router is alive.
     pub fn introduce(&mut self, address: SocketAddr) {
         let known = self.peers.values().any(|peer| peer.member.address == address);
         if address != self.me.address && !known && !self.seeds.contains(&address) {
@@ -246,139 +251,144 @@
         }
     }
 
-    /// Takes routers for alive that are named somewhere, until they don't answer, and pings them at once: so all who read
-    /// the same names agree on who does what before they have heard of each other. What is known of a router already stays.
-    pub fn presume(&mut self, now: Moment, named: Vec<Member>) -> Vec<Effect> {
+    /// Assumes that listed routers are alive until they leave probes unanswered, and pings them at once, so that all
+    /// routers which read the same list agree on their roles before they have received anything from each other. A
+    /// router already on record keeps its entry, unless it is dead or leaving and is now listed with another address.
+    pub fn presume(&mut self, now: Moment, listed: Vec<Member>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for member in named {
+        for member in listed {
             let known = self.peers.get(&member.router).map(|peer| &peer.member);
             let moved = |known: &Member| !is_live(known.status) && known.address != member.address;
             if member.router == self.me.router || known.is_some_and(|known| !moved(known)) {
                 continue;
             }
-            // Any word of the router itself goes before this one, and nobody is told of it.
+            // Any update from the router itself supersedes incarnation 0. The assumption isn't gossiped.
             let member = Member { incarnation: id::Incarnation(0), status: Status::Alive, ..member };
             let (router, to) = (member.router.clone(), member.address);
             self.revision += 1;
             self.peers.insert(router.clone(), Peer::new(member, now));
-            self.round.push(router.clone());
+            self.probe_round.push(router.clone());
             effects.push(Effect::Joined(router));
-            effects.push(self.packet(to, Body::Ping { probe: 0 }));
+            effects.push(self.send(to, Body::Ping { probe: 0 }));
         }
         effects
     }
 
-    /// Knocks at the seeds at once, rather than at one with each probe.
+    /// Pings all seeds at once, rather than one with each probe.
     pub fn knock_at_seeds(&mut self) -> Vec<Effect> {
         let me = self.me.address;
         let seeds: Vec<_> = self.seeds.iter().copied().filter(|seed| *seed != me).collect();
-        seeds.into_iter().map(|to| self.packet(to, Body::Ping { probe: 0 })).collect()
+        seeds.into_iter().map(|to| self.send(to, Body::Ping { probe: 0 })).collect()
     }
 
-    /// All routers that live, as they are told to one that has just started.
+    /// All live routers, as they are sent to a router that has just started; those that are only assumed to be alive
+    /// are left out.
     #[must_use]
     pub fn told(&self) -> Vec<Member> {
         self.live().filter(|member| member.incarnation.0 > 0).cloned().collect()
     }
 
-    /// A peer told of the routers that it knows to live. They are known elsewhere, so this isn't passed on.
+    /// Merges the live routers that a peer reported. The rest of the fleet has them on record, so they aren't gossiped.
     pub fn learn_members(&mut self, now: Moment, members: Vec<Member>) -> Vec<Effect> {
         let others: Vec<_> = members.into_iter().filter(|member| member.router != self.me.router).collect();
-        others.into_iter().filter_map(|member| self.adopt(now, member)).flatten().collect()
+        others.into_iter().filter_map(|member| self.merge_member(now, member)).flatten().collect()
     }
 
-    /// Drops addresses that the list of VMs no longer names.
+    /// Drops seeds that the list of VMs no longer contains.
     pub fn retain_seeds(&mut self, keep: impl Fn(&SocketAddr) -> bool) {
         self.seeds.retain(keep);
     }
 
-    /// This router has another configuration or list now; a few peers are told at once.
+    /// Sets the generation of this router's configuration and the revision of its list of VMs. If either changed, a few
+    /// peers are notified at once.
     pub fn set_versions(&mut self, generation: u64, vms: u64) -> Vec<Effect> {
         if (self.generation, self.vms) == (generation, vms) {
             return Vec::new();
         }
         self.generation = generation;
         self.vms = vms;
-        self.rumour()
+        self.notify_some_peers()
     }
 
-    /// The digest of the words that this router knows, told with every packet.
+    /// Sets the digest of this router's upstream reports, which every packet carries.
     pub fn set_words(&mut self, digest: u64) {
-        self.words = digest;
+        self.upstream_digest = digest;
     }
 
-    /// News of an upstream to pass on; a few peers are told at once.
-    pub fn spread(&mut self, word: Word) -> Vec<Effect> {
-        self.enqueue(Update::Upstream(word));
-        self.rumour()
+    /// Gossips a status report of an upstream, which a few peers are sent at once.
+    pub fn spread(&mut self, report: Word) -> Vec<Effect> {
+        self.enqueue(Update::Upstream(report));
+        self.notify_some_peers()
     }
 
-    /// This router stops as planned.
+    /// Announces that this router shuts down as planned.
     pub fn leave(&mut self) -> Vec<Effect> {
         self.revision += 1;
         self.me.status = Status::Leaving;
         self.me.incarnation.0 += 1;
         self.enqueue(Update::Member(self.me.clone()));
-        // Who may do work for others is missed everywhere at once. The others are gone from their zone's balancer alone, and
-        // each telling all others at once would take more than all else where all are restarted one after the other.
+        // A router that may do work for others is missed everywhere at once, so it notifies all peers. Any other router
+        // is only removed from its zone's balancer. If each of these notified all peers too, that would take more
+        // traffic than everything else while all routers are restarted one after the other.
         let strongest = self.live_peers().map(|member| member.strength).max().unwrap_or(0);
-        let works = self.me.strength * 2 >= strongest;
-        let told = self.live_peers().filter(|member| works || member.zone == self.me.zone);
-        let addresses: Vec<_> = told.map(|member| member.address).collect();
-        let packet = self.bare_packet(Body::News);
+        let serves_others = self.me.strength * 2 >= strongest;
+        let notified = self.live_peers().filter(|member| serves_others || member.zone == self.me.zone);
+        let addresses: Vec<_> = notified.map(|member| member.address).collect();
+        let packet = self.packet_without_gossip(Body::News);
         addresses.into_iter().map(|to| Effect::Send { to, packet: packet.clone() }).collect()
     }
 
-    /// A stream to a peer broke: probe it next.
+    /// Schedules a peer to be probed next because a stream to it broke.
     pub fn doubt(&mut self, now: Moment, router: &id::Router) {
         if self.peers.get(router).is_some_and(|peer| peer.member.status == Status::Alive) {
-            self.round.push(router.clone());
-            // A probe that is on its way is given its time first.
+            self.probe_round.push(router.clone());
+            // A probe in flight is given its full time first.
             if self.probe.is_none() {
                 self.next_probe = self.next_probe.min(now);
             }
         }
     }
 
-    /// This process was paused: what it believes of others may be old, so nobody is blamed for silence meanwhile.
+    /// Records that this process was paused: its view of the peers may be old, so none of them is blamed for missing
+    /// answers meanwhile.
     pub fn resumed(&mut self, now: Moment) {
-        (self.probe, self.second) = (None, None);
-        self.favours.clear();
+        (self.probe, self.second_probe) = (None, None);
+        self.forwarded_probes.clear();
         self.next_probe = now;
         for peer in self.peers.values_mut().filter(|peer| peer.member.status == Status::Suspect) {
-            peer.since = now;
+            peer.status_since = now;
         }
     }
 
-    /// Lets time pass.
+    /// Advances time: declares overdue suspects dead, evaluates probes and starts the next ones.
     pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
-        let mut effects = self.bury(now);
-        self.favours.retain(|favour| favour.until > now);
-        effects.extend(self.ask_helpers(now));
+        let mut effects = self.expire_peers(now);
+        self.forwarded_probes.retain(|probe| probe.deadline > now);
+        effects.extend(self.request_indirect_probes(now));
         if now < self.next_probe {
             return effects;
         }
         self.next_probe = now + self.settings.every;
-        effects.extend(self.judge_probe(now));
-        effects.extend(self.tell_accused());
+        effects.extend(self.evaluate_probes(now));
+        effects.extend(self.ping_suspects());
         effects.extend(self.start_probe(now));
         effects
     }
 
-    /// A datagram came in from an address.
+    /// Processes a datagram that was received from an address.
     pub fn receive(&mut self, now: Moment, from: SocketAddr, packet: Packet) -> Vec<Effect> {
         if packet.version != VERSION || packet.from == self.me.router {
             return Vec::new();
         }
-        self.heard = now;
+        self.last_received = now;
         if let Some(peer) = self.peers.get_mut(&packet.from) {
-            peer.missed = 0;
+            peer.missed_probes = 0;
         }
         let mut effects = Vec::new();
-        let doubtful = self.is_returning(now, &packet.from);
+        let from_returning = self.is_returning(now, &packet.from);
         for update in packet.updates {
-            if !(doubtful && self.is_blame(&update)) {
-                effects.extend(self.learn(now, update));
+            if !(from_returning && self.is_accusation(&update)) {
+                effects.extend(self.apply_update(now, update));
             }
         }
         effects.push(Effect::Versions {
@@ -388,9 +398,9 @@
             words: packet.words,
         });
         match packet.body {
-            Body::Ping { probe } => effects.push(self.packet(from, Body::Ack { probe })),
-            Body::Ack { probe } => effects.extend(self.acked(now, probe, from, &packet.from)),
-            Body::Indirect { probe, target } => effects.extend(self.favour(now, from, probe, &target)),
+            Body::Ping { probe } => effects.push(self.send(from, Body::Ack { probe })),
+            Body::Ack { probe } => effects.extend(self.receive_ack(now, probe, from, &packet.from)),
+            Body::Indirect { probe, target } => effects.extend(self.forward_probe(now, from, probe, &target)),
             Body::News => {}
         }
         effects
@@ -401,7 +411,7 @@
     matches!(status, Status::Alive | Status::Suspect)
 }
 
-/// Whether news replaces what is known: a later life, or a worse status in the same one.
+/// Whether an update replaces the recorded entry: it has a later incarnation, or a worse status in the same one.
 fn supersedes(new: &Member, old: &Member) -> bool {
     if new.incarnation != old.incarnation {
         return new.incarnation > old.incarnation;
--- a/crates/stairvale-membership/src/swim/gossip.rs
+++ b/crates/stairvale-membership/src/swim/gossip.rs
@@ -1,4 +1,5 @@
-//! News of routers: whom it is taken from, how it is passed on, and what this router says against what is said of it.
+//! Gossip among routers: which updates are accepted, how they are piggybacked, and how this router refutes wrong
+//! updates about itself.
 
 use std::net::SocketAddr;
 
@@ -6,20 +7,26 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::{Member, Packet, Status, Update, VERSION, codec, packet::Body};
 
-use super::{CROSS_ZONE_COPIES, Effect, News, Peer, RETURNED, RUMOUR, SPREAD, Swim, is_live, same_subject, supersedes};
+use super::{
+    CROSS_ZONE_COPIES, Effect, Peer, QueuedUpdate, REJOIN_DISTRUST_PERIOD, RETRANSMIT_FACTOR, Swim, URGENT_FANOUT,
+    is_live, same_subject, supersedes,
+};
 
 impl Swim {
-    /// Whether a router is held for dead, or was until a moment ago: both of us may have been on the two sides of a cut.
+    /// Whether a router is recorded as dead, or was until a moment ago: it and this router may have been on the two
+    /// sides of a network partition.
     pub(super) fn is_returning(&self, now: Moment, router: &id::Router) -> bool {
         let Some(peer) = self.peers.get(router) else {
             return false;
         };
-        let lately = peer.returned.is_some_and(|returned| now.since(returned) < RETURNED);
-        peer.member.status == Status::Dead || lately
+        let returned_recently =
+            peer.returned_at.is_some_and(|returned_at| now.since(returned_at) < REJOIN_DISTRUST_PERIOD);
+        peer.member.status == Status::Dead || returned_recently
     }
 
-    /// Whether news says that a router other than this one doesn't answer. What is said of this one it can refute itself.
-    pub(super) fn is_blame(&self, update: &Update) -> bool {
+    /// Whether an update states that a router other than this one is suspect or dead. This router can refute such
+    /// updates about itself.
+    pub(super) fn is_accusation(&self, update: &Update) -> bool {
         match update {
             Update::Member(member) => {
                 member.router != self.me.router && matches!(member.status, Status::Suspect | Status::Dead)
@@ -28,115 +35,121 @@
         }
     }
 
-    pub(super) fn learn(&mut self, now: Moment, update: Update) -> Vec<Effect> {
+    pub(super) fn apply_update(&mut self, now: Moment, update: Update) -> Vec<Effect> {
         match update {
-            Update::Upstream(word) => vec![Effect::Upstream(word)],
+            Update::Upstream(report) => vec![Effect::Upstream(report)],
             Update::Member(member) if member.router == self.me.router => self.refute(&member),
-            Update::Member(member) => self.learn_member(now, member),
+            Update::Member(member) => self.apply_member(now, member),
         }
     }
 
-    /// Somebody says something about this router that isn't so.
-    pub(super) fn refute(&mut self, said: &Member) -> Vec<Effect> {
-        let wrong = said.status != self.me.status && said.incarnation >= self.me.incarnation;
-        if !wrong {
+    /// Refutes an update about this router if it is wrong, by a higher incarnation number.
+    pub(super) fn refute(&mut self, claimed: &Member) -> Vec<Effect> {
+        let is_wrong = claimed.status != self.me.status && claimed.incarnation >= self.me.incarnation;
+        if !is_wrong {
             return Vec::new();
         }
         self.revision += 1;
-        self.me.incarnation = id::Incarnation(said.incarnation.0 + 1);
+        self.me.incarnation = id::Incarnation(claimed.incarnation.0 + 1);
         self.enqueue(Update::Member(self.me.clone()));
-        self.rumour()
+        self.notify_some_peers()
     }
 
-    pub(super) fn learn_member(&mut self, now: Moment, member: Member) -> Vec<Effect> {
-        let Some(effects) = self.adopt(now, member.clone()) else {
+    pub(super) fn apply_member(&mut self, now: Moment, member: Member) -> Vec<Effect> {
+        let Some(effects) = self.merge_member(now, member.clone()) else {
             return Vec::new();
         };
         self.enqueue(Update::Member(member));
         effects
     }
 
-    /// Takes what is said of a router; `None` if it is known already.
-    pub(super) fn adopt(&mut self, now: Moment, member: Member) -> Option<Vec<Effect>> {
+    /// Merges an update about a router; `None` if it isn't newer than the recorded entry.
+    pub(super) fn merge_member(&mut self, now: Moment, member: Member) -> Option<Vec<Effect>> {
         let old = self.peers.get(&member.router).map(|peer| &peer.member);
         if old.is_some_and(|old| !supersedes(&member, old)) {
             return None;
         }
-        let was = old.map(|old| old.status);
-        let (before, missed) = self.peers.get(&member.router).map_or((None, 0), |peer| (peer.returned, peer.missed));
-        let reborn = old.is_some_and(|old| old.incarnation < member.incarnation);
+        let old_status = old.map(|old| old.status);
+        let (old_returned_at, missed_probes) =
+            self.peers.get(&member.router).map_or((None, 0), |peer| (peer.returned_at, peer.missed_probes));
+        let is_new_incarnation = old.is_some_and(|old| old.incarnation < member.incarnation);
         let router = member.router.clone();
         let status = member.status;
-        let returned = if was == Some(Status::Dead) && status == Status::Alive { Some(now) } else { before };
+        let returned_at =
+            if old_status == Some(Status::Dead) && status == Status::Alive { Some(now) } else { old_returned_at };
         self.revision += 1;
-        // Who refutes is heard of; what this router found out itself stays.
-        let missed = if status == Status::Alive { 0 } else { missed };
-        self.peers.insert(router.clone(), Peer { member, since: now, returned, missed });
+        // A router that refutes is alive. Otherwise the probes that it left unanswered at this router still count.
+        let missed_probes = if status == Status::Alive { 0 } else { missed_probes };
+        self.peers.insert(router.clone(), Peer { member, status_since: now, returned_at, missed_probes });
         Some(match status {
-            Status::Alive | Status::Suspect if was.is_none_or(|was| !is_live(was)) => vec![Effect::Joined(router)],
-            Status::Alive if reborn => vec![Effect::Joined(router)],
+            Status::Alive | Status::Suspect if old_status.is_none_or(|old_status| !is_live(old_status)) => {
+                vec![Effect::Joined(router)]
+            }
+            Status::Alive if is_new_incarnation => vec![Effect::Joined(router)],
             Status::Alive | Status::Suspect => Vec::new(),
-            Status::Leaving if was != Some(Status::Leaving) => vec![Effect::Leaves(router)],
-            Status::Dead if was != Some(Status::Dead) => vec![Effect::Died(router)],
+            Status::Leaving if old_status != Some(Status::Leaving) => vec![Effect::Leaves(router)],
+            Status::Dead if old_status != Some(Status::Dead) => vec![Effect::Died(router)],
             Status::Leaving | Status::Dead => Vec::new(),
         })
     }
 
     pub(super) fn enqueue(&mut self, update: Update) {
-        self.news.retain(|news| !same_subject(&news.update, &update));
-        let size = u32::try_from(self.peers.len() + 2).unwrap_or(u32::MAX);
-        let left = SPREAD * size.ilog2().max(1);
-        let here = self.live_peers().filter(|member| member.zone == self.me.zone).count() + 1;
-        let here = u32::try_from(here).unwrap_or(u32::MAX);
-        let all = left * CROSS_ZONE_COPIES;
-        // Where a zone has many routers, what is left of a whole time is drawn.
-        let drawn = all / here < CROSS_ZONE_COPIES && self.rng.random_range(0..here) < all % here;
-        let far = (all / here + u32::from(drawn)).min(left);
-        self.news.push(News { update, left, far });
+        self.gossip_queue.retain(|queued| !same_subject(&queued.update, &update));
+        let fleet_size = u32::try_from(self.peers.len() + 2).unwrap_or(u32::MAX);
+        let remaining = RETRANSMIT_FACTOR * fleet_size.ilog2().max(1);
+        let zone_size = self.live_peers().filter(|member| member.zone == self.me.zone).count() + 1;
+        let zone_size = u32::try_from(zone_size).unwrap_or(u32::MAX);
+        let zone_total = remaining * CROSS_ZONE_COPIES;
+        // In a zone of many routers the fraction of a transmission that is left over is decided by a random draw.
+        let has_extra =
+            zone_total / zone_size < CROSS_ZONE_COPIES && self.rng.random_range(0..zone_size) < zone_total % zone_size;
+        let remaining_cross_zone = (zone_total / zone_size + u32::from(has_extra)).min(remaining);
+        self.gossip_queue.push(QueuedUpdate { update, remaining, remaining_cross_zone });
     }
 
-    pub(super) fn rumour(&mut self) -> Vec<Effect> {
+    pub(super) fn notify_some_peers(&mut self) -> Vec<Effect> {
         let addresses: Vec<_> = self.live_peers().map(|member| member.address).collect();
-        let told: Vec<_> = addresses.choose_multiple(&mut self.rng, RUMOUR).copied().collect();
-        told.into_iter().map(|to| self.packet(to, Body::News)).collect()
+        let notified: Vec<_> = addresses.choose_multiple(&mut self.rng, URGENT_FANOUT).copied().collect();
+        notified.into_iter().map(|to| self.send(to, Body::News)).collect()
     }
 
-    /// A packet that tells of this router alone.
-    pub(super) fn bare_packet(&self, body: Body) -> Packet {
+    /// A packet whose only update is this router's own entry.
+    pub(super) fn packet_without_gossip(&self, body: Body) -> Packet {
         Packet {
             version: VERSION,
             from: self.me.router.clone(),
             generation: self.generation,
             vms: self.vms,
-            words: self.words,
+            words: self.upstream_digest,
             body,
             updates: vec![Update::Member(self.me.clone())],
         }
     }
 
-    /// A packet with as much news as fits, the least spread first. This router itself always stands first.
-    pub(super) fn packet(&mut self, to: SocketAddr, body: Body) -> Effect {
-        self.news.sort_by_key(|news| std::cmp::Reverse(news.left));
-        let mut packet = self.bare_packet(body);
+    /// A packet with as many updates as fit, the least disseminated first. This router's own entry always stands first.
+    pub(super) fn send(&mut self, to: SocketAddr, body: Body) -> Effect {
+        self.gossip_queue.sort_by_key(|queued| std::cmp::Reverse(queued.remaining));
+        let mut packet = self.packet_without_gossip(body);
         let receiver = self.peers.values().find(|peer| peer.member.address == to);
-        let far = receiver.is_some_and(|peer| peer.member.zone != self.me.zone);
-        // Whom the receiver suspects or holds dead is told so, and can refute.
-        let blamed = self.peers.values().find(|peer| peer.member.address == to && peer.member.status != Status::Alive);
-        packet.updates.extend(blamed.map(|peer| Update::Member(peer.member.clone())));
-        // The envelope's tag and the coding's slack stay below the limit.
-        const RESERVE: usize = 64;
+        let is_cross_zone = receiver.is_some_and(|peer| peer.member.zone != self.me.zone);
+        // A receiver that isn't recorded as alive is sent its entry, so that it can refute it.
+        let accused = self.peers.values().find(|peer| peer.member.address == to && peer.member.status != Status::Alive);
+        packet.updates.extend(accused.map(|peer| Update::Member(peer.member.clone())));
+        // Bytes that are kept free for the envelope's tag and the encoding's slack.
+        const RESERVED_BYTES: usize = 64;
         let mut size = codec::pack(&packet).map_or(0, |bytes| bytes.len());
-        for news in self.news.iter_mut().filter(|news| !far || news.far > 0) {
-            let bytes = codec::pack(&news.update).map_or(usize::MAX, |bytes| bytes.len());
-            if size.saturating_add(bytes) > codec::MAX_PACKET - RESERVE {
+        for queued in self.gossip_queue.iter_mut().filter(|queued| !is_cross_zone || queued.remaining_cross_zone > 0) {
+            let bytes = codec::pack(&queued.update).map_or(usize::MAX, |bytes| bytes.len());
+            if size.saturating_add(bytes) > codec::MAX_PACKET - RESERVED_BYTES {
                 break;
             }
             size += bytes;
-            news.left -= 1;
-            news.far = if far { news.far - 1 } else { news.far };
-            packet.updates.push(news.update.clone());
+            queued.remaining -= 1;
+            queued.remaining_cross_zone =
+                if is_cross_zone { queued.remaining_cross_zone - 1 } else { queued.remaining_cross_zone };
+            packet.updates.push(queued.update.clone());
         }
-        self.news.retain(|news| news.left > 0);
+        self.gossip_queue.retain(|queued| queued.remaining > 0);
         Effect::Send { to, packet }
     }
 
--- a/crates/stairvale-membership/src/upstreams.rs
+++ b/crates/stairvale-membership/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! What is known of each upstream, and whether it may take work.
+//! The recorded state of each upstream, and whether it may be sent work.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -8,43 +8,44 @@
     packet::{Role, State},
 };
 
-/// After a failed connection this router leaves an upstream alone for this long, then twice that, and so on.
+/// How long this router sends an upstream nothing after a failed connection. The time doubles with each further
+/// failure.
 const COOL_DOWN: Duration = Duration::from_millis(500);
-/// The longest cool-down.
+/// The longest cool-down that doubling leads to.
 const MAX_COOL_DOWN: Duration = Duration::from_secs(8);
-/// Each return from unreachable adds one; above this an upstream is held back.
-const FLAP_LIMIT: f64 = 3.0;
-/// Below this it is let in again.
-const FLAP_RELEASE: f64 = 1.0;
-/// The penalty halves in this time.
+/// Flap penalty above which an upstream is suppressed. Each return from unreachable adds one.
+const FLAP_SUPPRESS: f64 = 3.0;
+/// Flap penalty below which a suppressed upstream is used again.
+const FLAP_REUSE: f64 = 1.0;
+/// Time in which the flap penalty halves.
 const FLAP_HALF_LIFE: Duration = Duration::from_secs(20);
-/// An upstream that the platform no longer lists keeps its rank this long, for it may only flap.
-pub const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// How long an upstream that the platform no longer lists keeps its rank, because it may only be flapping.
+pub const UNLISTED_RETENTION: Duration = Duration::from_secs(120);
 
-/// One upstream as this router knows it.
+/// One upstream as recorded by this router.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its name.
+    /// The upstream's name.
     pub name: id::Upstream,
-    /// Its service.
+    /// The upstream's service.
     pub service: id::Service,
-    /// Its availability zone.
+    /// The upstream's availability zone.
     pub zone: id::Zone,
-    /// Where it is reached.
+    /// The address at which the upstream is reached.
     pub address: SocketAddr,
-    /// Its capacity beside others'.
+    /// The upstream's capacity relative to others.
     pub weight: u32,
-    /// The latest word of it or its prober.
+    /// The latest report of the upstream or of its prober.
     pub word: Option<Word>,
-    /// Whether the platform takes it away.
+    /// Whether the platform is removing the upstream.
     pub leaving: bool,
     unlisted_since: Option<Moment>,
     cool_until: Moment,
     cool_down: Duration,
-    rest_until: Moment,
-    flaps: f64,
-    flaps_at: Moment,
-    held_back: bool,
+    rejecting_until: Moment,
+    flap_penalty: f64,
+    flap_penalty_at: Moment,
+    suppressed: bool,
 }
 
 impl Upstream {
@@ -60,58 +61,58 @@
             unlisted_since: None,
             cool_until: Moment::ZERO,
             cool_down: Duration::ZERO,
-            rest_until: Moment::ZERO,
-            flaps: 0.0,
-            flaps_at: Moment::ZERO,
-            held_back: false,
+            rejecting_until: Moment::ZERO,
+            flap_penalty: 0.0,
+            flap_penalty_at: Moment::ZERO,
+            suppressed: false,
         }
     }
 
-    /// Whether it may take new work. Evidence is ordered: its own word, then this router's connections, then damping;
-    /// the platform's lagging list can only take away.
+    /// Whether the upstream may be sent new work. The evidence ranks in this order: its own reports, then this router's
+    /// connections, then flap damping; the platform's lagging list can only withdraw an upstream.
     #[must_use]
     pub fn usable(&self, now: Moment) -> bool {
-        let serving = self.word.as_ref().is_some_and(|word| word.state == State::Serving);
-        serving && !self.leaving && self.unlisted_since.is_none() && !self.held_back && now >= self.cool_until
+        let serving = self.word.as_ref().is_some_and(|report| report.state == State::Serving);
+        serving && !self.leaving && self.unlisted_since.is_none() && !self.suppressed && now >= self.cool_until
     }
 
-    /// Whether it wants nothing from this router now, as it said when it turned a request of this router away. Other routers
-    /// may send it work.
+    /// Whether the upstream wants no requests from this router now, as it stated when it rejected one of them. Other
+    /// routers may send it work.
     #[must_use]
     pub fn rests(&self, now: Moment) -> bool {
-        now < self.rest_until
+        now < self.rejecting_until
     }
 
-    /// Whether the platform's latest list names it.
+    /// Whether the platform's latest list contains the upstream.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.unlisted_since.is_none()
     }
 
-    fn decay(&mut self, now: Moment) {
-        let half_lives = now.since(self.flaps_at).as_secs_f64() / FLAP_HALF_LIFE.as_secs_f64();
-        self.flaps *= (-half_lives).exp2();
-        self.flaps_at = now;
-        if self.flaps < FLAP_RELEASE {
-            self.held_back = false;
+    fn decay_flap_penalty(&mut self, now: Moment) {
+        let half_lives = now.since(self.flap_penalty_at).as_secs_f64() / FLAP_HALF_LIFE.as_secs_f64();
+        self.flap_penalty *= (-half_lives).exp2();
+        self.flap_penalty_at = now;
+        if self.flap_penalty < FLAP_REUSE {
+            self.suppressed = false;
         }
     }
 }
 
-/// All upstreams.
+/// All upstreams on record.
 #[derive(Debug, Default)]
 pub struct Upstreams {
-    table: BTreeMap<id::Upstream, Upstream>,
+    upstreams: BTreeMap<id::Upstream, Upstream>,
     revision: u64,
-    /// Words that came before the list named their upstream.
-    early: BTreeMap<id::Upstream, Word>,
+    /// Reports that were received before the list contained their upstream.
+    early_reports: BTreeMap<id::Upstream, Word>,
 }
 
-/// Early words that are kept at the most.
-const MAX_EARLY: usize = 4_096;
+/// Maximum number of early reports that are kept.
+const MAX_EARLY_REPORTS: usize = 4_096;
 
 impl Upstreams {
-    /// No upstreams yet.
+    /// A record without any upstreams yet.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -120,25 +121,25 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// One upstream.
+    /// The record of one upstream.
     #[must_use]
     pub fn get(&self, name: &id::Upstream) -> Option<&Upstream> {
-        self.table.get(name)
+        self.upstreams.get(name)
     }
 
     /// All upstreams that keep their rank, usable or not.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
-        self.table.values()
+        self.upstreams.values()
     }
 
-    /// A digest of all words: two routers with the same one know the same.
+    /// A digest of all reports: two routers with the same digest have the same reports.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let words = self.table.values().filter_map(|upstream| upstream.word.as_ref());
-        words.map(digest).fold(0, u64::wrapping_add)
+        let reports = self.upstreams.values().filter_map(|upstream| upstream.word.as_ref());
+        reports.map(report_digest).fold(0, u64::wrapping_add)
     }
 
-    /// The revision of the platform's list that this builds on.
+    /// The revision of the platform's list that this record is based on.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -147,31 +148,32 @@
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// The platform's list came in; an older one changes nothing.
+    /// Applies the platform's list of VMs. Returns `false` if it isn't newer than the last one, so that nothing
+    /// changes.
     pub fn list(&mut self, now: Moment, revision: u64, vms: &[Vm]) -> bool {
         if revision <= self.revision {
             return false;
         }
         self.revision = revision;
-        for upstream in self.table.values_mut() {
+        for upstream in self.upstreams.values_mut() {
             upstream.unlisted_since.get_or_insert(now);
         }
         for vm in vms.iter().filter(|vm| vm.role == Role::Upstream) {
-            self.list_one(vm);
+            self.apply_vm(vm);
         }
         true
     }
 
-    fn list_one(&mut self, vm: &Vm) {
+    fn apply_vm(&mut self, vm: &Vm) {
         let Ok(name) = vm.name.parse::<id::Upstream>() else {
             return;
         };
         let Some(service) = vm.service.clone() else {
             return;
         };
-        let early = self.early.remove(&name);
-        let fresh = || Upstream { word: early, ..Upstream::new(vm, service, name.clone()) };
-        let upstream = self.table.entry(name.clone()).or_insert_with(fresh);
+        let early = self.early_reports.remove(&name);
+        let new = || Upstream { word: early, ..Upstream::new(vm, service, name.clone()) };
+        let upstream = self.upstreams.entry(name.clone()).or_insert_with(new);
         upstream.unlisted_since = None;
         upstream.leaving = vm.leaving;
         upstream.weight = vm.weight.max(1);
@@ -179,101 +181,105 @@
         upstream.zone = vm.zone.clone();
     }
 
-    /// Forgets upstreams that the platform hasn't listed for long; returns them.
+    /// Removes upstreams that the platform hasn't listed for long, and returns their names.
     pub fn forget(&mut self, now: Moment) -> Vec<id::Upstream> {
-        let gone = |u: &Upstream| u.unlisted_since.is_some_and(|since| now.since(since) >= FORGET_AFTER);
-        let names: Vec<_> = self.table.values().filter(|u| gone(u)).map(|u| u.name.clone()).collect();
+        let is_due =
+            |upstream: &Upstream| upstream.unlisted_since.is_some_and(|since| now.since(since) >= UNLISTED_RETENTION);
+        let names: Vec<_> =
+            self.upstreams.values().filter(|upstream| is_due(upstream)).map(|upstream| upstream.name.clone()).collect();
         for name in &names {
-            self.table.remove(name);
+            self.upstreams.remove(name);
         }
         names
     }
 
-    /// A word came in, from the upstream or by way of others; only a later one changes anything.
-    pub fn hear(&mut self, now: Moment, word: &Word) -> bool {
-        let Some(upstream) = self.table.get_mut(&word.upstream) else {
-            self.hear_early(word);
+    /// Applies a report that was received from the upstream or through peers. Only a later one changes anything;
+    /// returns whether it did.
+    pub fn hear(&mut self, now: Moment, report: &Word) -> bool {
+        let Some(upstream) = self.upstreams.get_mut(&report.upstream) else {
+            self.store_early(report);
             return false;
         };
         let old = upstream.word.as_ref();
-        if old.is_some_and(|old| word.order() <= old.order()) {
+        if old.is_some_and(|old| report.order() <= old.order()) {
             return false;
         }
-        let returned = old.is_some_and(|old| old.state == State::Unreachable) && word.state == State::Serving;
-        upstream.word = Some(word.clone());
+        let returned = old.is_some_and(|old| old.state == State::Unreachable) && report.state == State::Serving;
+        upstream.word = Some(report.clone());
         if returned {
-            upstream.decay(now);
-            upstream.flaps += 1.0;
-            upstream.held_back |= upstream.flaps > FLAP_LIMIT;
+            upstream.decay_flap_penalty(now);
+            upstream.flap_penalty += 1.0;
+            upstream.suppressed |= upstream.flap_penalty > FLAP_SUPPRESS;
             upstream.cool_until = now;
             upstream.cool_down = Duration::ZERO;
         }
         true
     }
 
-    fn hear_early(&mut self, word: &Word) {
-        let later = self.early.get(&word.upstream).is_none_or(|old| word.order() > old.order());
-        if later && self.early.len() < MAX_EARLY {
-            self.early.insert(word.upstream.clone(), word.clone());
+    fn store_early(&mut self, report: &Word) {
+        let later = self.early_reports.get(&report.upstream).is_none_or(|old| report.order() > old.order());
+        if later && self.early_reports.len() < MAX_EARLY_REPORTS {
+            self.early_reports.insert(report.upstream.clone(), report.clone());
         }
     }
 
-    /// The prober's next word, after the upstream answered with its own counters.
+    /// The prober's next report, after the upstream answered with its own counters.
     #[must_use]
     pub fn reached(&self, name: &id::Upstream, boot: u64, change: u64, state: State) -> Option<Word> {
-        let old = self.table.get(name)?.word.as_ref();
+        let old = self.upstreams.get(name)?.word.as_ref();
         let same = old.filter(|old| (old.boot, old.change) == (boot, change));
         let reach = same.map_or(0, |old| old.reach + u64::from(old.state == State::Unreachable));
         Some(Word { upstream: name.clone(), boot, change, reach, state })
     }
 
-    /// The prober's next word, after the upstream didn't answer.
+    /// The prober's next report, after the upstream didn't answer; `None` if there is no report yet or it already
+    /// states that.
     #[must_use]
     pub fn missed(&self, name: &id::Upstream) -> Option<Word> {
-        let old = self.table.get(name)?.word.as_ref()?;
+        let old = self.upstreams.get(name)?.word.as_ref()?;
         if old.state == State::Unreachable {
             return None;
         }
         Some(Word { reach: old.reach + 1, state: State::Unreachable, ..old.clone() })
     }
 
-    /// A connection from this router failed: leave the upstream alone for a while.
+    /// Records that a connection from this router failed, so that the upstream is sent nothing for a while.
     pub fn failed(&mut self, now: Moment, name: &id::Upstream) {
-        if let Some(upstream) = self.table.get_mut(name) {
-            let doubled = (upstream.cool_down * 2).clamp(COOL_DOWN, MAX_COOL_DOWN);
-            upstream.cool_down = doubled;
-            upstream.cool_until = now + doubled;
+        if let Some(upstream) = self.upstreams.get_mut(name) {
+            let cool_down = (upstream.cool_down * 2).clamp(COOL_DOWN, MAX_COOL_DOWN);
+            upstream.cool_down = cool_down;
+            upstream.cool_until = now + cool_down;
         }
     }
 
-    /// An upstream turned a request of this router away and wants nothing more from it for so long. A shorter rest doesn't end a
-    /// longer one.
-    pub fn rest(&mut self, now: Moment, name: &id::Upstream, length: Duration) {
-        if let Some(upstream) = self.table.get_mut(name) {
-            upstream.rest_until = upstream.rest_until.max(now + length);
+    /// Records that an upstream rejected a request of this router and wants no more of them for the given duration. A
+    /// shorter duration doesn't end a longer one in force.
+    pub fn rest(&mut self, now: Moment, name: &id::Upstream, duration: Duration) {
+        if let Some(upstream) = self.upstreams.get_mut(name) {
+            upstream.rejecting_until = upstream.rejecting_until.max(now + duration);
         }
     }
 
-    /// A request from this router was answered.
+    /// Records that a request from this router was answered.
     pub fn succeeded(&mut self, name: &id::Upstream) {
-        if let Some(upstream) = self.table.get_mut(name) {
+        if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.cool_down = Duration::ZERO;
         }
     }
 
-    /// Lets penalties decay.
+    /// Lets flap penalties decay.
     pub fn tick(&mut self, now: Moment) {
-        for upstream in self.table.values_mut().filter(|upstream| upstream.flaps > 0.0) {
-            upstream.decay(now);
+        for upstream in self.upstreams.values_mut().filter(|upstream| upstream.flap_penalty > 0.0) {
+            upstream.decay_flap_penalty(now);
         }
     }
 }
 
-/// One word's part of the digest.
-fn digest(word: &Word) -> u64 {
-    /// Spreads small differences over all bits (the golden ratio's fraction, as in Fibonacci hashing).
-    const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let (boot, change, reach) = word.order();
-    let mixed = |hash: u64, value: u64| (hash ^ value).wrapping_mul(SPREAD).rotate_left(23);
-    [boot, change, reach].into_iter().fold(word.upstream.hash64(), mixed)
+/// The part of the digest that one report makes up.
+fn report_digest(report: &Word) -> u64 {
+    /// The fraction of the golden ratio, which spreads small differences over all bits as in Fibonacci hashing.
+    const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+    let (boot, change, reach) = report.order();
+    let mixed = |hash: u64, value: u64| (hash ^ value).wrapping_mul(GOLDEN_RATIO).rotate_left(23);
+    [boot, change, reach].into_iter().fold(report.upstream.hash64(), mixed)
 }
--- a/crates/stairvale-membership/tests/membership.rs
+++ b/crates/stairvale-membership/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Routers find, suspect, refute and bury each other; upstreams are judged by the best evidence.
+//! Routers discover and suspect each other, refute suspicions and declare peers dead; upstreams are judged by the best
+//! evidence.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -8,7 +9,7 @@
 use stairvale_membership::{
     Swim, Upstreams,
     swim::{Effect, Settings},
-    upstreams::FORGET_AFTER,
+    upstreams::UNLISTED_RETENTION,
 };
 use stairvale_types::{Moment, id};
 use stairvale_wire as wire;
@@ -32,18 +33,18 @@
     }
 }
 
-/// Routers that hear each other at once, but for those that are silent.
+/// A network that delivers at once, except to and from unresponsive routers.
 struct Net {
     routers: HashMap<SocketAddr, Swim>,
-    silent: Vec<SocketAddr>,
-    /// Routers from this number on are cut off from those below it.
-    cut: Option<u16>,
+    unresponsive: Vec<SocketAddr>,
+    /// Routers from this number on are partitioned from those below it.
+    partition: Option<u16>,
     now: Moment,
     loss: u8,
     sent: u64,
     died: Vec<(id::Router, Moment)>,
-    /// Who holds whom for dead.
-    died_at: Vec<(u16, id::Router)>,
+    /// Which router declared which peer dead.
+    declared_dead: Vec<(u16, id::Router)>,
 }
 
 fn number(router: &id::Router) -> u16 {
@@ -60,13 +61,13 @@
         let routers = (0..count).map(router).collect();
         Self {
             routers,
-            silent: Vec::new(),
-            cut: None,
+            unresponsive: Vec::new(),
+            partition: None,
             now: Moment::ZERO,
             loss: 0,
             sent: 0,
             died: Vec::new(),
-            died_at: Vec::new(),
+            declared_dead: Vec::new(),
         }
     }
 
@@ -75,7 +76,7 @@
             match effect {
                 Effect::Send { to, packet } => self.packet(from, to, packet),
                 Effect::Died(router) => {
-                    self.died_at.push((from.port() - address(0).port(), router.clone()));
+                    self.declared_dead.push((from.port() - address(0).port(), router.clone()));
                     self.died.push((router, self.now));
                 }
                 _ => {}
@@ -86,9 +87,9 @@
     fn packet(&mut self, from: SocketAddr, to: SocketAddr, packet: Packet) {
         self.sent += 1;
         let lost = self.loss > 0 && self.sent.wrapping_mul(2_654_435_761) % 100 < u64::from(self.loss);
-        let beyond = |at: SocketAddr, first: u16| at.port() >= address(first).port();
-        let cut = self.cut.is_some_and(|first| beyond(from, first) != beyond(to, first));
-        if cut || lost || self.silent.contains(&from) || self.silent.contains(&to) {
+        let above_cut = |at: SocketAddr, first: u16| at.port() >= address(first).port();
+        let is_cut = self.partition.is_some_and(|first| above_cut(from, first) != above_cut(to, first));
+        if is_cut || lost || self.unresponsive.contains(&from) || self.unresponsive.contains(&to) {
             return;
         }
         let Some(router) = self.routers.get_mut(&to) else {
@@ -117,44 +118,45 @@
 }
 
 #[test]
-fn all_find_all() {
+fn all_routers_discover_each_other() {
     let mut net = Net::new(9);
     net.run(Duration::from_secs(4));
     assert!((0..9).all(|number| net.live(number) == 9));
 }
 
 #[test]
-fn a_silent_router_is_dead_within_seconds_and_comes_back() {
+fn an_unresponsive_router_is_dead_within_seconds_and_rejoins() {
     let mut net = Net::new(9);
     net.run(Duration::from_secs(4));
     let since = net.now;
-    net.silent.push(address(3));
+    net.unresponsive.push(address(3));
     net.run(Duration::from_secs(6));
     let first = net.died.iter().filter(|(router, _)| router.as_str() == "r3").map(|(_, at)| *at).min().unwrap();
-    assert!(first.since(since) < Duration::from_secs(5), "known after {:?}", first.since(since));
+    assert!(first.since(since) < Duration::from_secs(5), "declared dead after {:?}", first.since(since));
     assert_eq!(net.live(0), 8);
-    net.silent.clear();
+    net.unresponsive.clear();
     net.run(Duration::from_secs(8));
-    assert_eq!(net.live(0), 9, "it refutes its death with a higher incarnation");
+    assert_eq!(net.live(0), 9, "it refutes its death with a higher incarnation number");
 }
 
 #[test]
-fn after_a_cut_is_healed_nobody_is_held_for_dead_by_his_own_side() {
-    // So many that the deaths of the other side are still being told when the cut is healed.
+fn after_a_healed_partition_no_router_is_declared_dead_by_its_own_side() {
+    // There are so many routers that the deaths on the other side are still being gossiped when the partition is
+    // healed.
     let mut net = Net::new(100);
     net.run(Duration::from_secs(12));
-    net.cut = Some(80);
+    net.partition = Some(80);
     net.run(Duration::from_secs(6));
-    net.cut = None;
-    net.died_at.clear();
+    net.partition = None;
+    net.declared_dead.clear();
     net.run(Duration::from_secs(25));
-    let own_side = net.died_at.iter().filter(|(at, router)| (*at < 80) == (number(router) < 80)).count();
+    let own_side = net.declared_dead.iter().filter(|(at, router)| (*at < 80) == (number(router) < 80)).count();
     assert_eq!(own_side, 0);
     assert!((0..100).all(|number| net.live(number) == 100));
 }
 
 #[test]
-fn lost_packets_alone_kill_nobody_for_good() {
+fn packet_loss_alone_leaves_no_router_dead() {
     let mut net = Net::new(9);
     net.run(Duration::from_secs(4));
     net.loss = 15;
@@ -164,38 +166,38 @@
     assert!((0..9).all(|number| net.live(number) == 9));
 }
 
-/// A router that knows nobody, and is told by some list that these are there.
-fn presuming(named: &[u16]) -> (Swim, Vec<Effect>) {
+/// A router without peers that assumes the listed ones to be alive.
+fn assuming_alive(listed: &[u16]) -> (Swim, Vec<Effect>) {
     let mut swim = Swim::new(member(0), Settings::default(), 7);
-    let effects = swim.presume(Moment::ZERO, named.iter().map(|number| member(*number)).collect());
+    let effects = swim.presume(Moment::ZERO, listed.iter().map(|number| member(*number)).collect());
     (swim, effects)
 }
 
 #[test]
-fn a_router_that_is_only_named_counts_as_alive_until_it_does_not_answer() {
+fn a_listed_router_is_assumed_alive_until_it_does_not_answer() {
     let mut net = Net::new(1);
-    let named = vec![member(1), member(2)];
-    let effects = net.routers.get_mut(&address(0)).unwrap().presume(Moment::ZERO, named.clone());
+    let listed = vec![member(1), member(2)];
+    let effects = net.routers.get_mut(&address(0)).unwrap().presume(Moment::ZERO, listed.clone());
     let pinged = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
     assert_eq!((net.live(0), pinged), (3, 2));
-    // One of them runs.
+    // Only one of the listed routers runs.
     net.routers.insert(address(1), Swim::new(member(1), Settings::default(), 1));
     net.deliver(address(0), effects);
-    let heard = net.routers[&address(0)].peer(&member(1).router).unwrap().incarnation;
-    assert_eq!(heard, member(1).incarnation);
+    let received = net.routers[&address(0)].peer(&member(1).router).unwrap().incarnation;
+    assert_eq!(received, member(1).incarnation);
     net.run(Duration::from_secs(3));
     assert_eq!(net.live(0), 2);
-    // What was found out goes before the list, which may be old.
-    let again = net.routers.get_mut(&address(0)).unwrap().presume(net.now, named);
+    // An observed death takes precedence over the list, which may be old.
+    let again = net.routers.get_mut(&address(0)).unwrap().presume(net.now, listed);
     assert!(again.is_empty());
-    // At another address it may live.
+    // A dead router that is listed with another address may be alive.
     let moved = wire::Member { address: address(9), ..member(2) };
     let again = net.routers.get_mut(&address(0)).unwrap().presume(net.now, vec![moved]);
     assert!(again.iter().any(|effect| matches!(effect, Effect::Send { to, .. } if *to == address(9))));
 }
 
-/// A fleet whose routers know each other.
-fn acquainted(count: u16) -> Net {
+/// A fleet whose routers all have each other on record.
+fn connected_fleet(count: u16) -> Net {
     let mut net = Net::new(count);
     let all: Vec<_> = (0..count).map(member).collect();
     for router in net.routers.values_mut() {
@@ -206,49 +208,50 @@
     net
 }
 
-/// Small VMs stand still for a third of a second while they take over a configuration. In a fleet of 985 the suspicion that followed was
-/// known to all sooner than its refutation, which first had to hear of it by gossip: each second some two routers were held for
-/// dead by hundreds, homes of services among them, and gossip was full of it for the whole day.
+/// Small VMs pause for a third of a second while they apply a configuration. In a fleet of 985 the suspicion that
+/// followed reached all routers sooner than its refutation, because the suspect first had to receive the suspicion by
+/// gossip: each second some two routers were declared dead by hundreds, homes of services among them, and gossip was
+/// full of it for the whole day.
 #[test]
-fn in_a_large_fleet_whoever_stands_still_for_a_moment_is_held_for_dead_by_nobody() {
+fn in_a_large_fleet_no_router_that_pauses_briefly_is_declared_dead() {
     const ROUTERS: u16 = 300;
-    let mut net = acquainted(ROUTERS);
+    let mut net = connected_fleet(ROUTERS);
     for round in 0..12 {
-        net.silent = (0..ROUTERS).filter(|number| number % 12 == round).map(address).collect();
+        net.unresponsive = (0..ROUTERS).filter(|number| number % 12 == round).map(address).collect();
         net.run(Duration::from_millis(330));
-        net.silent.clear();
+        net.unresponsive.clear();
         net.run(Duration::from_millis(170));
     }
     net.run(Duration::from_secs(4));
-    assert!(net.died.is_empty(), "{} times, the first {:?}", net.died.len(), &net.died[..3]);
+    assert!(net.died.is_empty(), "{} deaths, the first {:?}", net.died.len(), &net.died[..3]);
 }
 
 #[test]
-fn in_a_large_fleet_a_zone_that_is_lost_is_known_to_be_within_seconds() {
+fn in_a_large_fleet_the_loss_of_a_zone_is_detected_within_seconds() {
     const ROUTERS: u16 = 300;
-    let mut net = acquainted(ROUTERS);
-    net.silent = (0..ROUTERS / 5).map(address).collect();
+    let mut net = connected_fleet(ROUTERS);
+    net.unresponsive = (0..ROUTERS / 5).map(address).collect();
     net.run(Duration::from_secs(6));
     let live: Vec<_> = (ROUTERS / 5..ROUTERS).map(|number| net.live(number)).collect();
-    let all = usize::from(ROUTERS - ROUTERS / 5);
-    assert!(live.iter().all(|live| *live == all), "{:?} to {:?}", live.iter().min(), live.iter().max());
+    let expected = usize::from(ROUTERS - ROUTERS / 5);
+    assert!(live.iter().all(|live| *live == expected), "{:?} to {:?}", live.iter().min(), live.iter().max());
 }
 
 #[test]
-fn an_accuser_that_dies_leaves_nobody_suspected_for_good() {
+fn a_suspicion_is_resolved_when_the_router_that_raised_it_dies() {
     let mut net = Net::new(9);
     net.run(Duration::from_secs(4));
-    net.silent.push(address(3));
-    // By then somebody suspects it.
+    net.unresponsive.push(address(3));
+    // By this time some router suspects it.
     net.run(Duration::from_millis(1_200));
-    net.silent.push(address(4));
+    net.unresponsive.push(address(4));
     net.run(Duration::from_secs(8));
     assert!([0, 1, 2, 5, 6, 7, 8].iter().all(|number| net.live(*number) == 7));
 }
 
 #[test]
-fn a_router_whose_address_another_one_has_is_gone() {
-    let (mut swim, _) = presuming(&[1]);
+fn a_router_whose_address_belongs_to_another_one_is_dead() {
+    let (mut swim, _) = assuming_alive(&[1]);
     let mut other = Swim::new(wire::Member { address: address(1), ..member(5) }, Settings::default(), 5);
     let mut died = Vec::new();
     for step in 1..60 {
@@ -268,35 +271,35 @@
 }
 
 #[test]
-fn a_probe_that_was_just_sent_is_not_judged_since_another_router_is_doubted() {
-    let (mut swim, _) = presuming(&[1, 2]);
-    // Both are known to live.
-    let lives = swim.learn_members(Moment::ZERO, vec![member(1), member(2)]);
-    assert!(lives.is_empty() || swim.live().count() == 3);
+fn a_probe_in_flight_is_not_evaluated_early_when_another_router_is_to_be_probed() {
+    let (mut swim, _) = assuming_alive(&[1, 2]);
+    // Both routers are recorded as alive.
+    let effects = swim.learn_members(Moment::ZERO, vec![member(1), member(2)]);
+    assert!(effects.is_empty() || swim.live().count() == 3);
     let sent = swim.tick(Moment::from_millis(10));
-    let asked = sent.iter().find_map(|effect| match effect {
+    let probed = sent.iter().find_map(|effect| match effect {
         Effect::Send { to, .. } => Some(*to),
         _ => None,
     });
-    let other = if asked == Some(address(1)) { member(2) } else { member(1) };
+    let other = if probed == Some(address(1)) { member(2) } else { member(1) };
     swim.doubt(Moment::from_millis(12), &other.router);
     swim.tick(Moment::from_millis(14));
-    assert!(swim.peers().all(|peer| peer.status == Status::Alive), "2 ms are no silence");
+    assert!(swim.peers().all(|peer| peer.status == Status::Alive), "a probe isn't overdue after 2 ms");
 }
 
 #[test]
-fn a_list_of_members_that_is_older_than_what_is_known_changes_nothing() {
-    let (mut swim, _) = presuming(&[]);
+fn an_older_list_of_members_changes_nothing() {
+    let (mut swim, _) = assuming_alive(&[]);
     let later = wire::Member { incarnation: id::Incarnation(4), status: Status::Leaving, ..member(1) };
     swim.learn_members(Moment::ZERO, vec![later.clone(), member(2)]);
     let effects = swim.learn_members(Moment::ZERO, vec![member(1), member(2), member(0)]);
     assert!(effects.is_empty());
     assert_eq!(swim.peer(&later.router), Some(&later));
-    assert_eq!(swim.told().len(), 2, "this router and the one that lives");
+    assert_eq!(swim.told().len(), 2, "this router and the live peer");
 }
 
 #[test]
-fn a_leaving_router_is_told_of_at_once() {
+fn a_leaving_router_notifies_its_peers_at_once() {
     let mut net = Net::new(5);
     net.run(Duration::from_secs(4));
     let effects = net.routers.get_mut(&address(2)).unwrap().leave();
@@ -304,7 +307,7 @@
     assert!([0, 1, 3, 4].into_iter().all(|number| net.live(number) == 4));
 }
 
-/// A router of zone `a` that knows as many others in zones `a` and `b`, all weak but for the first of them.
+/// A router of zone `a` with 30 peers each in zones `a` and `b`, all weak except the first of them.
 fn among_zones(strength: u32, seed: u64) -> Swim {
     const EACH: u16 = 30;
     let me = Member { strength, ..member(0) };
@@ -318,9 +321,9 @@
     swim
 }
 
-/// Packets that a router sends in ten seconds in which everybody answers: those of them that tell of `subject`, to its own zone
-/// and beyond.
-fn tellings(swim: &mut Swim, subject: &id::Router) -> (usize, usize) {
+/// Counts the packets with an update about `subject` that a router sends in ten seconds in which all peers answer:
+/// those to its own zone and those to other zones.
+fn packets_about(swim: &mut Swim, subject: &id::Router) -> (usize, usize) {
     let (mut near, mut far) = (0, 0);
     for step in 1..=1_000_u64 {
         let now = Moment::from_millis(step * 10);
@@ -328,11 +331,11 @@
             let Effect::Send { to, packet } = effect else {
                 continue;
             };
-            let tells =
+            let contains_subject =
                 packet.updates.iter().any(|update| matches!(update, wire::Update::Member(m) if &m.router == subject));
-            let beyond = to.port() > address(30).port();
-            near += usize::from(tells && !beyond);
-            far += usize::from(tells && beyond);
+            let is_far = to.port() > address(30).port();
+            near += usize::from(contains_subject && !is_far);
+            far += usize::from(contains_subject && is_far);
             if let wire::packet::Body::Ping { probe } = packet.body {
                 let from = member(to.port() - address(0).port());
                 let body = wire::packet::Body::Ack { probe };
@@ -344,8 +347,8 @@
 }
 
 #[test]
-fn news_goes_to_other_zones_from_several_routers_rather_than_many_times_from_each() {
-    let news = Member { status: Status::Leaving, incarnation: id::Incarnation(2), ..member(9) };
+fn updates_go_to_other_zones_from_several_routers_rather_than_many_times_from_each() {
+    let left = Member { status: Status::Leaving, incarnation: id::Incarnation(2), ..member(9) };
     let packet = Packet {
         version: wire::VERSION,
         from: member(2).router,
@@ -353,42 +356,42 @@
         vms: 0,
         words: 0,
         body: wire::packet::Body::News,
-        updates: vec![wire::Update::Member(news.clone())],
+        updates: vec![wire::Update::Member(left.clone())],
     };
-    // As many routers as there are in a zone.
-    let (mut beyond, mut least) = (0, usize::MAX);
+    // One run for each of the 31 routers of a zone.
+    let (mut total_far, mut min_near) = (0, usize::MAX);
     for seed in 0..31 {
         let mut swim = among_zones(12, seed);
         swim.receive(Moment::ZERO, address(2), packet.clone());
-        let (near, far) = tellings(&mut swim, &news.router);
-        (beyond, least) = (beyond + far, least.min(near));
+        let (near, far) = packets_about(&mut swim, &left.router);
+        (total_far, min_near) = (total_far + far, min_near.min(near));
     }
-    assert!(least >= 8, "{least} times in its zone");
-    assert!((20..=52).contains(&beyond), "{beyond} times beyond it, by all");
+    assert!(min_near >= 8, "{min_near} times in its zone");
+    assert!((20..=52).contains(&total_far), "{total_far} times to other zones, by all");
 }
 
 #[test]
-fn a_weak_router_that_leaves_tells_its_zone_and_a_strong_one_everybody() {
-    let told = |strength| {
+fn a_weak_router_that_leaves_notifies_its_zone_and_a_strong_one_all_peers() {
+    let sent_by_leaving = |strength| {
         let mut swim = among_zones(strength, 7);
         let sent = swim.leave();
         let bytes = sent.iter().map(|effect| match effect {
             Effect::Send { packet, .. } => wire::codec::pack(packet).unwrap().len(),
             _ => 0,
         });
-        assert!(bytes.max().unwrap() < 150, "only what is urgent");
+        assert!(bytes.max().unwrap() < 150, "only the urgent update");
         sent.len()
     };
-    assert_eq!((told(12), told(50)), (30, 60));
+    assert_eq!((sent_by_leaving(12), sent_by_leaving(50)), (30, 60));
 }
 
 #[test]
-fn packets_fit_an_ethernet_frame_whatever_the_news() {
+fn packets_fit_an_ethernet_frame_whatever_is_gossiped() {
     let mut swim = Swim::new(member(0), Settings::default(), 1).with_seeds(vec![address(1)]);
     for number in 0..2_000 {
         let upstream = format!("a-rather-long-upstream-name-{number}").parse().unwrap();
-        let word = Word { upstream, boot: u64::MAX, change: 3, reach: 4, state: State::Draining };
-        swim.spread(word);
+        let report = Word { upstream, boot: u64::MAX, change: 3, reach: 4, state: State::Draining };
+        swim.spread(report);
     }
     let effects = swim.tick(Moment::from_millis(300));
     let Some(Effect::Send { packet, .. }) = effects.first() else {
@@ -413,7 +416,7 @@
     }
 }
 
-fn word(boot: u64, change: u64, reach: u64, state: State) -> Word {
+fn report(boot: u64, change: u64, reach: u64, state: State) -> Word {
     Word { upstream: "e".parse().unwrap(), boot, change, reach, state }
 }
 
@@ -428,10 +431,10 @@
 }
 
 #[test]
-fn the_list_alone_makes_nothing_usable_but_takes_away() {
+fn the_list_alone_makes_no_upstream_usable_but_withdraws_it() {
     let mut upstreams = listed();
-    assert!(!usable(&upstreams, Moment::ZERO), "it hasn't said a word itself");
-    upstreams.hear(Moment::ZERO, &word(1, 0, 0, State::Serving));
+    assert!(!usable(&upstreams, Moment::ZERO), "it hasn't sent a report itself");
+    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
     assert!(usable(&upstreams, Moment::ZERO));
     upstreams.list(Moment::ZERO, 2, &[vm("e", true)]);
     assert!(!usable(&upstreams, Moment::ZERO));
@@ -439,21 +442,21 @@
 }
 
 #[test]
-fn its_own_word_goes_before_the_list() {
+fn an_upstreams_own_report_takes_precedence_over_the_list() {
     let mut upstreams = listed();
-    upstreams.hear(Moment::ZERO, &word(1, 1, 0, State::Draining));
+    upstreams.hear(Moment::ZERO, &report(1, 1, 0, State::Draining));
     assert!(!usable(&upstreams, Moment::ZERO), "it drains, whatever the list says");
-    upstreams.hear(Moment::ZERO, &word(1, 0, 5, State::Serving));
-    assert!(!usable(&upstreams, Moment::ZERO), "an earlier word that comes late changes nothing");
-    upstreams.hear(Moment::ZERO, &word(2, 0, 0, State::Serving));
-    assert!(usable(&upstreams, Moment::ZERO), "a new life starts anew");
+    upstreams.hear(Moment::ZERO, &report(1, 0, 5, State::Serving));
+    assert!(!usable(&upstreams, Moment::ZERO), "an earlier report that arrives late changes nothing");
+    upstreams.hear(Moment::ZERO, &report(2, 0, 0, State::Serving));
+    assert!(usable(&upstreams, Moment::ZERO), "a new incarnation starts afresh");
 }
 
 #[test]
 fn failed_connections_cool_down_and_double() {
     let mut upstreams = listed();
     let name = "e".parse().unwrap();
-    upstreams.hear(Moment::ZERO, &word(1, 0, 0, State::Serving));
+    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
     upstreams.failed(Moment::ZERO, &name);
     assert!(!usable(&upstreams, Moment::from_millis(499)));
     assert!(usable(&upstreams, Moment::from_millis(500)));
@@ -465,13 +468,13 @@
 }
 
 #[test]
-fn a_flapping_upstream_is_held_back_but_keeps_its_rank() {
+fn a_flapping_upstream_is_suppressed_but_keeps_its_rank() {
     let mut upstreams = listed();
     let mut reach = 0;
     for flap in 0..6 {
         let now = Moment::from_millis(flap * 500);
-        upstreams.hear(now, &word(1, 0, reach + 1, State::Unreachable));
-        upstreams.hear(now, &word(1, 0, reach + 2, State::Serving));
+        upstreams.hear(now, &report(1, 0, reach + 1, State::Unreachable));
+        upstreams.hear(now, &report(1, 0, reach + 2, State::Serving));
         reach += 2;
     }
     let now = Moment::from_millis(3_000);
@@ -485,29 +488,29 @@
 #[test]
 fn an_unlisted_upstream_keeps_its_rank_for_a_while() {
     let mut upstreams = listed();
-    upstreams.hear(Moment::ZERO, &word(1, 0, 0, State::Serving));
+    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
     upstreams.list(Moment::ZERO, 2, &[]);
     assert!(!usable(&upstreams, Moment::ZERO));
     assert!(upstreams.forget(Moment::from_millis(1_000)).is_empty());
-    assert_eq!(upstreams.forget(Moment::ZERO + FORGET_AFTER).len(), 1);
+    assert_eq!(upstreams.forget(Moment::ZERO + UNLISTED_RETENTION).len(), 1);
 }
 
 quickcheck! {
-    fn words_in_any_order_end_the_same(order: Vec<usize>) -> bool {
-        let words = [
-            word(1, 0, 0, State::Serving),
-            word(1, 0, 1, State::Unreachable),
-            word(1, 0, 2, State::Serving),
-            word(1, 1, 0, State::Draining),
-            word(2, 0, 0, State::Serving),
-            word(2, 1, 0, State::Draining),
+    fn reports_in_any_order_converge(order: Vec<usize>) -> bool {
+        let reports = [
+            report(1, 0, 0, State::Serving),
+            report(1, 0, 1, State::Unreachable),
+            report(1, 0, 2, State::Serving),
+            report(1, 1, 0, State::Draining),
+            report(2, 0, 0, State::Serving),
+            report(2, 1, 0, State::Draining),
         ];
         let mut upstreams = listed();
         for index in order {
-            upstreams.hear(Moment::ZERO, &words[index % words.len()]);
+            upstreams.hear(Moment::ZERO, &reports[index % reports.len()]);
         }
-        for word in &words {
-            upstreams.hear(Moment::ZERO, word);
+        for report in &reports {
+            upstreams.hear(Moment::ZERO, report);
         }
         !usable(&upstreams, Moment::from_millis(60_000))
     }
--- a/crates/stairvale-replica/src/view.rs
+++ b/crates/stairvale-replica/src/view.rs
@@ -62,9 +62,9 @@
     withheld: WithheldEntries,
     /// Number of items that are tombstones.
     tombstone_count: usize,
-    /// Subjects that changed since they were last applied.
+    /// Subjects that changed since they were last taken.
     changed: BTreeSet<Subject>,
-    /// Incarnations that replaced another one of the same name since they were last applied.
+    /// Incarnations that replaced another one of the same name since they were last taken.
     new_incarnations: Vec<id::Upstream>,
     /// Rises when the routers registered in the store change.
     routers_revision: u64,
