--- a/crates/stairvale-membership/src/swim.rs
+++ b/crates/stairvale-membership/src/swim.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Interval between probes, each of which goes to one peer.
-    pub every: Duration,
+    pub probe_interval: Duration,
     /// Time without an answer after which other routers are requested to probe the peer.
-    pub timeout: Duration,
+    pub ack_timeout: Duration,
     /// Number of other routers that are requested to probe the peer.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Time in which a suspect must refute. After it the router that suspected it first declares it dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
 }
 
 impl Default for Settings {
@@ -29,10 +29,10 @@
     /// death is known within about 2 s.
     fn default() -> Self {
         Self {
-            every: Duration::from_millis(200),
-            timeout: Duration::from_millis(100),
-            helpers: 2,
-            suspicion: Duration::from_millis(800),
+            probe_interval: Duration::from_millis(200),
+            ack_timeout: Duration::from_millis(100),
+            indirect_probes: 2,
+            suspicion_timeout: Duration::from_millis(800),
         }
     }
 }
@@ -236,7 +236,7 @@
 
     /// When the last packet was received.
     #[must_use]
-    pub fn heard(&self) -> Moment {
+    pub fn last_received(&self) -> Moment {
         self.last_received
     }
 
@@ -368,7 +368,7 @@
         if now < self.next_probe {
             return effects;
         }
-        self.next_probe = now + self.settings.every;
+        self.next_probe = now + self.settings.probe_interval;
         effects.extend(self.evaluate_probes(now));
         effects.extend(self.ping_suspects());
         effects.extend(self.start_probe(now));
--- a/crates/stairvale-membership/src/swim/probe.rs
+++ b/crates/stairvale-membership/src/swim/probe.rs
@@ -48,7 +48,7 @@
     }
 
     pub(super) fn request_indirect_probes(&mut self, now: Moment) -> Vec<Effect> {
-        let timeout = self.settings.timeout;
+        let timeout = self.settings.ack_timeout;
         let Some(probe) = self.probe.as_mut().filter(|p| !p.indirect_requested && now.since(p.sent) >= timeout) else {
             return Vec::new();
         };
@@ -61,7 +61,7 @@
     fn send_indirect_requests(&mut self, number: u64, target: &id::Router) -> Vec<Effect> {
         let others: Vec<_> =
             self.live_peers().filter(|member| member.router != *target).map(|member| member.address).collect();
-        let helpers: Vec<_> = others.choose_multiple(&mut self.rng, self.settings.helpers).copied().collect();
+        let helpers: Vec<_> = others.choose_multiple(&mut self.rng, self.settings.indirect_probes).copied().collect();
         let body = Body::Indirect { probe: number, target: target.clone() };
         helpers.into_iter().map(|to| self.send(to, body.clone())).collect()
     }
@@ -154,13 +154,13 @@
             return Vec::new();
         };
         self.probe_number += 1;
-        let deadline = now + self.settings.every;
+        let deadline = now + self.settings.probe_interval;
         self.forwarded_probes.push(ForwardedProbe { number: self.probe_number, requester_number, requester, deadline });
         vec![self.send(address, Body::Ping { probe: self.probe_number })]
     }
 
     pub(super) fn expire_peers(&mut self, now: Moment) -> Vec<Effect> {
-        let suspicion = self.settings.suspicion;
+        let suspicion = self.settings.suspicion_timeout;
         let timeout =
             |peer: &Peer| if peer.is_suspected_directly() { suspicion } else { suspicion * GOSSIPED_SUSPICION_FACTOR };
         let overdue =
--- a/crates/stairvale-membership/src/upstreams.rs
+++ b/crates/stairvale-membership/src/upstreams.rs
@@ -42,7 +42,7 @@
     unlisted_since: Option<Moment>,
     cool_until: Moment,
     cool_down: Duration,
-    rejecting_until: Moment,
+    backoff_until: Moment,
     flap_penalty: f64,
     flap_penalty_at: Moment,
     suppressed: bool,
@@ -61,7 +61,7 @@
             unlisted_since: None,
             cool_until: Moment::ZERO,
             cool_down: Duration::ZERO,
-            rejecting_until: Moment::ZERO,
+            backoff_until: Moment::ZERO,
             flap_penalty: 0.0,
             flap_penalty_at: Moment::ZERO,
             suppressed: false,
@@ -80,7 +80,7 @@
     /// routers may send it work.
     #[must_use]
     pub fn rests(&self, now: Moment) -> bool {
-        now < self.rejecting_until
+        now < self.backoff_until
     }
 
     /// Whether the platform's latest list contains the upstream.
@@ -256,7 +256,7 @@
     /// shorter duration doesn't end a longer one in force.
     pub fn rest(&mut self, now: Moment, name: &id::Upstream, duration: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.rejecting_until = upstream.rejecting_until.max(now + duration);
+            upstream.backoff_until = upstream.backoff_until.max(now + duration);
         }
     }
 
