--- a/crates/stairvale-replica/src/item.rs
+++ b/crates/stairvale-replica/src/item.rs
@@ -21,7 +21,7 @@
     Evacuation(id::Zone),
     /// An operator's order to move a service to another version.
     Order(id::Service),
-    /// The fleet's progress with such an order.
+    /// The fleet's progress with an operator's order for a service.
     Rollout(id::Service),
     /// A request that crashes the upstreams that run it.
     Quarantine(id::Fingerprint),
