--- a/crates/stairvale-dispatch/src/health.rs
+++ b/crates/stairvale-dispatch/src/health.rs
@@ -23,7 +23,7 @@
 /// Good outcomes in a row, one at a time, that show an upstream that failed to be well again.
 const TRIALS: u8 = 3;
 /// How much one answer's time counts in the mean.
-const WEIGHT: f64 = 0.2;
+const MEAN_WEIGHT: f64 = 0.2;
 
 /// What is known of one upstream's answers.
 #[derive(Clone, Debug)]
@@ -115,7 +115,7 @@
     /// An answer took `ratio` times what was expected.
     pub fn took(&mut self, now: Moment, ratio: f64) {
         self.fade(now);
-        self.excess += (ratio.clamp(0.2, 20.0) - 1.0 - self.excess) * WEIGHT;
+        self.excess += (ratio.clamp(0.2, 20.0) - 1.0 - self.excess) * MEAN_WEIGHT;
     }
 
     /// A request ended; `usual` is the share of bad outcomes among the others.
--- a/crates/stairvale-dispatch/src/member.rs
+++ b/crates/stairvale-dispatch/src/member.rs
@@ -1,4 +1,4 @@
-//! One upstream of a service, as the home knows it.
+//! The state of one upstream of a service, as recorded at the home.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,108 +11,110 @@
 /// A request that was granted and hasn't ended.
 #[derive(Clone, Debug)]
 pub struct Hold {
-    /// The entry that runs it.
+    /// The entry router that runs the request.
     pub entry: id::Router,
-    /// When it was granted, or heard of.
+    /// When the request was granted, or first reported by its entry router.
     pub since: Moment,
-    /// When its entry named it last.
-    pub named: Moment,
-    /// Tokens that are still to be read for it.
+    /// When the entry router last renewed the request.
+    pub renewed: Moment,
+    /// Tokens that are still to be prefilled for the request.
     pub read: u32,
-    /// Tokens that it takes beside what others share with it.
+    /// Tokens of memory that the request takes beside parts shared with other requests.
     pub tokens: u32,
-    /// The time to the first event that was expected, in ms.
-    pub expected: f64,
-    /// The same if the upstream is neither slower nor faster than the others; 0 if that isn't known.
-    pub due: f64,
-    /// The other engine that it copies from first.
+    /// The expected time to the first event, in ms.
+    pub expected_ms: f64,
+    /// The expected time to the first event if the upstream is neither slower nor faster than the others, in ms; 0 if
+    /// it isn't known.
+    pub typical_ms: f64,
+    /// The engine that the request copies from first, if any.
     pub source: Option<id::Upstream>,
-    /// Its route.
+    /// The route of the request.
     pub route: id::Route,
-    /// What it asks for.
+    /// The fingerprint that identifies the content of the request.
     pub fingerprint: id::Fingerprint,
-    /// Tokens that it may make; 0 if that isn't known.
+    /// Maximum number of output tokens; 0 if it isn't known.
     pub output: u32,
-    /// When its first event came.
-    pub begun: Option<Moment>,
-    /// Whether it was told that it is slow.
-    pub told: bool,
-    /// The zone of the engine that it copies from first, if it does.
-    pub copies: Option<id::Zone>,
-    /// The shared parts of its prompt that nobody had read there before; none once its first event has come.
-    pub reads: Vec<u64>,
+    /// When the first event came.
+    pub first_event: Option<Moment>,
+    /// Whether the request was reported as slow.
+    pub reported_slow: bool,
+    /// The zone of the engine that the request copies from first, if any.
+    pub source_zone: Option<id::Zone>,
+    /// The shared parts of the prompt that the engine didn't hold before this request; empty once the first event has
+    /// come.
+    pub new_parts: Vec<u64>,
 }
 
-/// What the store says of an upstream.
+/// The record of an upstream in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// Its id.
+    /// The id of the upstream.
     pub id: id::Upstream,
-    /// Its availability zone.
+    /// The availability zone of the upstream.
     pub zone: id::Zone,
-    /// Requests that it runs at once.
+    /// Requests that the upstream can run at once.
     pub slots: u32,
-    /// Whether it may be given new work.
+    /// Whether the upstream accepts new work.
     pub usable: bool,
-    /// How much longer it was cold when this was written.
+    /// For how much longer the upstream was cold when the record was written.
     pub cold: Duration,
-    /// The revision of what was written.
+    /// The revision of the record.
     pub revision: u64,
-    /// The software that it runs; `None` if it doesn't say.
+    /// The software version that the upstream runs; `None` if it doesn't report one.
     pub version: Option<id::Version>,
 }
 
-/// One upstream.
+/// One upstream of a service, as recorded at the home.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its id.
+    /// The id of the upstream.
     pub id: id::Upstream,
-    /// Its availability zone.
+    /// The availability zone of the upstream.
     pub zone: id::Zone,
-    /// Requests that it runs at once.
+    /// Requests that the upstream can run at once.
     pub slots: u32,
-    /// Whether it may be given new work.
+    /// Whether the upstream accepts new work.
     pub usable: bool,
-    /// The software that it runs; `None` if it doesn't say.
+    /// The software version that the upstream runs; `None` if it doesn't report one.
     pub version: Option<id::Version>,
-    /// What it may be given by its version.
+    /// What the upstream may be given by its version.
     pub admission: Admission,
     /// Whether its version is the one that was ordered last.
     pub is_new: bool,
-    /// The number of the reservation that it was chosen for last; 0 if it never was.
-    pub turn: u64,
-    /// Its id's hash, by which prompts rank it.
+    /// The number of the reservation for which it was last selected; 0 if it never was.
+    pub last_reservation: u64,
+    /// The hash of the id, by which prompts rank the upstream.
     pub hash: u64,
     held: RapidHashMap<id::Attempt, Hold>,
-    /// The sum of what is to be read for what runs there.
-    ahead: u64,
-    /// The sum of what that takes beside shared parts.
-    taken: u64,
-    /// What it holds of prompts.
+    /// The sum of the tokens to be prefilled for the running requests.
+    pending_prefill: u64,
+    /// The sum of the tokens that the running requests take beside shared parts.
+    unshared_tokens: u64,
+    /// The model of the engine's prefix cache.
     pub cache: Cache,
-    /// Whether that is more than what was placed there by this router.
-    pub known: bool,
-    /// Tokens that fit; zero if it is no engine.
+    /// Whether the cache model includes contents that weren't placed there by this router.
+    pub cache_known: bool,
+    /// Tokens that fit into the engine's memory; zero for a plain upstream.
     pub memory: u64,
-    /// How it does.
+    /// The health of the upstream.
     pub health: Health,
-    /// Until when it says that it is cold.
+    /// Until when the upstream is cold by its own report.
     cold_until: Moment,
-    /// Until when it may be cold without having said so.
+    /// Until when the upstream may be cold without having reported it.
     presumed_until: Moment,
-    /// The revision of what it said last.
+    /// The revision of the last record from the store.
     revision: u64,
-    /// Whether the store no longer names it.
+    /// Whether the upstream was removed from the store.
     gone: bool,
-    /// When it was given requests, the earliest first, as far back as matters.
-    given: VecDeque<Moment>,
+    /// When the upstream was granted requests, the earliest first, at most [`MAX_GRANTS`].
+    grants: VecDeque<Moment>,
 }
 
-/// Grants that are remembered at most: more a second than any upstream that can be cold is given.
-const REMEMBERED: usize = 256;
+/// Maximum number of grants that are remembered: more per second than any upstream that can be cold is given.
+const MAX_GRANTS: usize = 256;
 
 impl Member {
-    /// An upstream that nothing is known of yet. `memory` is zero for a plain one.
+    /// Creates an upstream of which nothing is recorded yet. `memory` is zero for a plain upstream.
     #[must_use]
     pub fn new(id: id::Upstream, zone: id::Zone, slots: u32, memory: u64) -> Self {
         Self {
@@ -124,24 +126,24 @@
             version: None,
             admission: Admission::Any,
             is_new: false,
-            turn: 0,
+            last_reservation: 0,
             held: RapidHashMap::default(),
-            ahead: 0,
-            taken: 0,
+            pending_prefill: 0,
+            unshared_tokens: 0,
             cache: Cache::new(memory),
-            known: false,
+            cache_known: false,
             memory,
             health: Health::default(),
             cold_until: Moment::ZERO,
             presumed_until: Moment::ZERO,
             revision: 0,
             gone: false,
-            given: VecDeque::new(),
+            grants: VecDeque::new(),
         }
     }
 
-    /// The store says something of it. One that has turned cold holds nothing any more.
-    pub fn list(&mut self, now: Moment, listing: &Listing) {
+    /// Applies a record from the store. The cache of an upstream that has turned cold is empty.
+    pub fn apply_listing(&mut self, now: Moment, listing: &Listing) {
         self.usable = listing.usable;
         self.version.clone_from(&listing.version);
         self.gone = false;
@@ -155,13 +157,13 @@
         self.cold_until = now + listing.cold;
     }
 
-    /// The store no longer names it: it gets nothing new.
-    pub fn go(&mut self) {
+    /// Marks the upstream as removed from the store: it gets no new requests.
+    pub fn mark_gone(&mut self) {
         self.usable = false;
         self.gone = true;
     }
 
-    /// Whether it may be given more than what is reserved for its version.
+    /// Whether the upstream may be given more than what is reserved for its version.
     #[must_use]
     pub fn serves(&self) -> bool {
         match self.admission {
@@ -170,104 +172,105 @@
         }
     }
 
-    /// Whether the store no longer names it.
+    /// Whether the upstream was removed from the store.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         self.gone
     }
 
-    /// It may be cold until then, whatever it says.
+    /// Presumes that the upstream is cold until then, whatever it reports.
     pub fn presume_cold(&mut self, until: Moment) {
         self.presumed_until = self.presumed_until.max(until);
     }
 
-    /// Whether it is cold, or may be.
+    /// Whether the upstream is cold, or may be.
     #[must_use]
     pub fn is_cold(&self, now: Moment) -> bool {
         now < self.cold_until.max(self.presumed_until)
     }
 
-    /// It is given a request.
-    pub fn give(&mut self, now: Moment) {
-        self.given.push_back(now);
-        if self.given.len() > REMEMBERED {
-            self.given.pop_front();
+    /// Records that the upstream was granted a request.
+    pub fn record_grant(&mut self, now: Moment) {
+        self.grants.push_back(now);
+        if self.grants.len() > MAX_GRANTS {
+            self.grants.pop_front();
         }
     }
 
-    /// Whether it was given at most so many requests within a time before now.
+    /// Whether the upstream was granted at most `most` requests in the `window` before now.
     #[must_use]
-    pub fn was_given_at_most(&self, most: usize, now: Moment, window: Duration) -> bool {
-        let before = self.given.len().checked_sub(most + 1);
-        before.is_none_or(|before| now.since(self.given[before]) >= window)
+    pub fn granted_at_most(&self, most: usize, now: Moment, window: Duration) -> bool {
+        let before = self.grants.len().checked_sub(most + 1);
+        before.is_none_or(|before| now.since(self.grants[before]) >= window)
     }
 
-    /// Requests that run there.
+    /// Returns the number of requests that run at the upstream.
     #[must_use]
     pub fn running(&self) -> u32 {
         u32::try_from(self.held.len()).unwrap_or(u32::MAX)
     }
 
-    /// Tokens that it has yet to read for what runs there.
+    /// Returns the number of tokens that are still to be prefilled for the running requests.
     #[must_use]
-    pub fn ahead(&self) -> u64 {
-        self.ahead
+    pub fn pending_prefill(&self) -> u64 {
+        self.pending_prefill
     }
 
-    /// Tokens that what runs there takes beside shared parts.
+    /// Returns the number of tokens that the running requests take beside shared parts.
     #[must_use]
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn unshared_tokens(&self) -> u64 {
+        self.unshared_tokens
     }
 
-    /// What runs there.
+    /// Returns the requests that run at the upstream.
     #[must_use]
     pub fn held(&self) -> &RapidHashMap<id::Attempt, Hold> {
         &self.held
     }
 
-    /// A request runs there from now on.
-    pub fn hold(&mut self, attempt: id::Attempt, hold: Hold) {
-        self.let_go(attempt);
-        self.ahead += u64::from(hold.read);
-        self.taken += u64::from(hold.tokens);
+    /// Adds a running request.
+    pub fn add_hold(&mut self, attempt: id::Attempt, hold: Hold) {
+        self.remove_hold(attempt);
+        self.pending_prefill += u64::from(hold.read);
+        self.unshared_tokens += u64::from(hold.tokens);
         self.held.insert(attempt, hold);
     }
 
-    /// A request no longer runs there.
-    pub fn let_go(&mut self, attempt: id::Attempt) -> Option<Hold> {
+    /// Removes a request that no longer runs.
+    pub fn remove_hold(&mut self, attempt: id::Attempt) -> Option<Hold> {
         let hold = self.held.remove(&attempt)?;
-        self.ahead -= u64::from(hold.read);
-        self.taken -= u64::from(hold.tokens);
+        self.pending_prefill -= u64::from(hold.read);
+        self.unshared_tokens -= u64::from(hold.tokens);
         Some(hold)
     }
 
-    /// A request's first event came: nothing more is to be read for it. Gives what it was until then.
-    pub fn begin(&mut self, now: Moment, attempt: id::Attempt) -> Option<Hold> {
+    /// Records a request's first event, from which on nothing is to be prefilled for it. Returns the hold as it was
+    /// before.
+    pub fn record_first_event(&mut self, now: Moment, attempt: id::Attempt) -> Option<Hold> {
         let hold = self.held.get_mut(&attempt)?;
         let before = hold.clone();
-        hold.begun = Some(now);
-        self.ahead -= u64::from(hold.read);
+        hold.first_event = Some(now);
+        self.pending_prefill -= u64::from(hold.read);
         hold.read = 0;
-        hold.reads = Vec::new();
+        hold.new_parts = Vec::new();
         Some(before)
     }
 
-    /// The entry of a request named it; whether it runs there at all.
-    pub fn name(&mut self, attempt: id::Attempt, now: Moment) -> bool {
+    /// Records that the entry router renewed a request; returns whether the request runs here.
+    pub fn renew_hold(&mut self, attempt: id::Attempt, now: Moment) -> bool {
         let hold = self.held.get_mut(&attempt);
-        hold.map(|hold| hold.named = now).is_some()
+        hold.map(|hold| hold.renewed = now).is_some()
     }
 
-    /// A request was told to be slow.
-    pub fn tell(&mut self, attempt: id::Attempt) {
+    /// Marks a request as reported to be slow.
+    pub fn mark_reported_slow(&mut self, attempt: id::Attempt) {
         if let Some(hold) = self.held.get_mut(&attempt) {
-            hold.told = true;
+            hold.reported_slow = true;
         }
     }
 
-    /// What runs there of which something is true.
-    pub fn which(&self, is: impl Fn(&Hold) -> bool) -> Vec<id::Attempt> {
-        self.held.iter().filter(|(_, hold)| is(hold)).map(|(attempt, _)| *attempt).collect()
+    /// Returns the attempts whose holds match a condition.
+    pub fn attempts_where(&self, matches: impl Fn(&Hold) -> bool) -> Vec<id::Attempt> {
+        self.held.iter().filter(|(_, hold)| matches(hold)).map(|(attempt, _)| *attempt).collect()
     }
 }
--- a/crates/stairvale-dispatch/src/pool.rs
+++ b/crates/stairvale-dispatch/src/pool.rs
@@ -1,4 +1,4 @@
-//! The home's account of a service's upstreams, and its decisions.
+//! A service's account at its home router: the state of its upstreams, and the decisions about its requests.
 
 use std::{
     cell::Cell,
@@ -32,113 +32,117 @@
 
 pub use allowance::cold::Cold;
 
-/// A hold that its entry hasn't named for this long is dropped; entries name theirs several times in it.
+/// A hold that its entry router hasn't renewed for this long is dropped; entry routers renew their holds several times
+/// within it.
 const HOLD_TTL: Duration = Duration::from_secs(4);
-/// A hold younger than this may be missing from what its entry named before the grant came in.
-const YOUNG: Duration = Duration::from_millis(1_000);
-/// A plain answer's time in ms, until answers have shown it.
-const FIRST_TIME: f64 = 50.0;
-/// How much one answer counts in a mean.
-const WEIGHT: f64 = 0.1;
-
-/// How a service is dealt out.
+/// A hold younger than this is kept even if a renewal lacks it: the renewal may have been sent before the grant
+/// arrived.
+const RENEWAL_GRACE: Duration = Duration::from_millis(1_000);
+/// Initial value of the mean time of a plain answer, in ms.
+const INITIAL_MEAN_TIME_MS: f64 = 50.0;
+/// Weight of one answer in a moving mean.
+const MEAN_WEIGHT: f64 = 0.1;
+
+/// The settings by which a service's requests are distributed over its upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Tokens that fit into an engine; `None` for a plain service.
+    /// The KV cache capacity of an engine in tokens; `None` for a plain service.
     pub engine: Option<unit::Tokens>,
-    /// Whether an engine can copy what another one holds of a prompt.
+    /// Whether an engine can copy cached prefixes from another engine.
     pub copies: bool,
-    /// The set multiple of the mean load that no upstream may exceed; zero if there is none.
+    /// The load multiple: no upstream may exceed this multiple of the mean number of outstanding requests; zero for no
+    /// bound.
     pub multiple: f64,
-    /// What is allowed beyond that multiple, in requests.
+    /// Requests that are allowed beyond the load multiple.
     pub slack: f64,
-    /// What a cold upstream bears; `None` if that isn't known.
+    /// The limits for cold upstreams; `None` if they aren't configured.
     pub cold: Option<Cold>,
 }
 
-/// A service at its home.
+/// The state of one service at its home router.
 #[derive(Debug)]
 pub struct Pool {
     rules: Rules,
     members: BTreeMap<id::Upstream, Member>,
-    /// The present life of each name.
-    lives: BTreeMap<id::Upstream, id::Upstream>,
-    /// Upstreams that are gone and may still run something.
+    /// The current incarnation of each upstream name.
+    incarnations: BTreeMap<id::Upstream, id::Upstream>,
+    /// Upstreams that were removed from the store and may still run requests.
     leaving: BTreeSet<id::Upstream>,
-    /// Zones none of whose routers is heard of.
-    dark: BTreeSet<id::Zone>,
-    /// When an upstream of a zone answered last.
-    answered: BTreeMap<id::Zone, Moment>,
-    /// Where each attempt runs.
-    places: places::Places,
-    /// Who holds each shared part.
+    /// Zones none of whose routers responds.
+    unresponsive_zones: BTreeSet<id::Zone>,
+    /// When an upstream of each zone last answered.
+    last_answers: BTreeMap<id::Zone, Moment>,
+    /// The upstream that runs each attempt.
+    placements: places::Placements,
+    /// The members that hold each shared part.
     holders: holders::Holders,
-    /// Between which zones copies are late.
+    /// Pairs of zones between which copies are late.
     paths: paths::Paths,
-    /// Whether every decision looks at all members.
-    whole_look: bool,
-    /// Members that were looked at so far.
-    looks: Cell<u64>,
-    /// The members in the order of their hashes.
+    /// Whether every decision scans all members.
+    scan_all: bool,
+    /// The number of members scanned so far.
+    scanned_members: Cell<u64>,
+    /// The members ordered by their hashes.
     ring: ring::Ring,
-    /// How many members may be given new work.
+    /// The number of members that accept new work.
     usable: usable::Usable,
-    /// Engines that may hold what nobody has told, in the order in which they came.
-    untold: Vec<id::Upstream>,
-    /// Who reads each of the shared parts that somebody is reading now.
-    readers: RapidHashMap<u64, Vec<id::Attempt>>,
+    /// Engines whose cache contents haven't been reported by any router or by the engine, in the order of their
+    /// arrival.
+    cache_unknown: Vec<id::Upstream>,
+    /// The attempts that are prefilling each shared part.
+    prefilling: RapidHashMap<u64, Vec<id::Attempt>>,
     waiting: Vec<queue::Waiting>,
-    /// Who has how much of the places.
+    /// How the service's slots are divided among customers.
     shares: Shares,
     following: Vec<follow::Follower>,
-    number: u64,
-    /// How long its engines take to the first event.
-    reading: Reading,
-    /// The mean time of a plain answer, or of an engine's request from grant to end, in ms.
-    time: f64,
-    /// How much longer than that a place of a plain upstream is taken, in ms.
-    transit: f64,
-    /// This router's part of what the whole fleet may give to cold upstreams.
+    last_number: u64,
+    /// The model of its engines' time to the first event.
+    prefill: Reading,
+    /// The mean time of a plain answer, or the mean time from grant to end of an engine's request, in ms.
+    mean_time_ms: f64,
+    /// How much longer than the answer's time a slot of a plain upstream is occupied, in ms.
+    transit_ms: f64,
+    /// This router's share of the fleet-wide limit for cold upstreams.
     share: allowance::cold::Share,
-    /// What its upstreams may be given by their versions.
+    /// The roll-out policy and the reservation for the version on trial.
     versions: allowance::versions::Versions,
-    /// What became of requests at either version.
+    /// Observations of requests at both versions during a roll-out.
     watch: watch::Watch,
-    /// Requests that its upstreams ended under.
+    /// Requests under which upstreams crashed.
     suspects: Suspects,
-    /// What was learnt of them here and not told yet.
+    /// Evidence that was collected here and not yet sent to other routers.
     evidence: Vec<Evidence>,
-    /// Those that were found to be the cause, and not told yet.
+    /// Requests that were found to crash upstreams and not yet reported.
     found: Vec<id::Fingerprint>,
 }
 
 impl Pool {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     #[must_use]
     pub fn new(rules: Rules) -> Self {
         Self {
             rules,
             members: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             leaving: BTreeSet::new(),
-            dark: BTreeSet::new(),
-            answered: BTreeMap::new(),
-            places: places::Places::default(),
+            unresponsive_zones: BTreeSet::new(),
+            last_answers: BTreeMap::new(),
+            placements: places::Placements::default(),
             holders: holders::Holders::default(),
             paths: paths::Paths::default(),
-            whole_look: false,
-            looks: Cell::default(),
+            scan_all: false,
+            scanned_members: Cell::default(),
             ring: ring::Ring::default(),
             usable: usable::Usable::default(),
-            untold: Vec::new(),
-            readers: RapidHashMap::default(),
+            cache_unknown: Vec::new(),
+            prefilling: RapidHashMap::default(),
             waiting: Vec::new(),
             shares: Shares::default(),
             following: Vec::new(),
-            number: 0,
-            reading: Reading::default(),
-            time: FIRST_TIME,
-            transit: 0.0,
+            last_number: 0,
+            prefill: Reading::default(),
+            mean_time_ms: INITIAL_MEAN_TIME_MS,
+            transit_ms: 0.0,
             share: allowance::cold::Share::ALL,
             versions: allowance::versions::Versions::default(),
             watch: watch::Watch::default(),
@@ -148,14 +152,15 @@
         }
     }
 
-    /// Looks at every upstream for every decision, as a comparison for the short look: slower, and the same.
+    /// Scans every upstream for every decision. It serves as a reference for the restricted scan, which makes the same
+    /// decisions faster.
     #[must_use]
     pub fn with_whole_look(mut self) -> Self {
-        self.whole_look = true;
+        self.scan_all = true;
         self
     }
 
-    /// Tells customers apart by another measure where requests wait, as a comparison.
+    /// Ranks customers by another measure while requests wait; used for comparisons.
     #[must_use]
     pub fn with_measure(mut self, measure: Measure) -> Self {
         self.shares = self.shares.with_measure(measure);
@@ -167,7 +172,7 @@
         self.shares.set_weights(weights);
     }
 
-    /// The configuration changed.
+    /// Replaces the rules after a change of the configuration.
     pub fn set_rules(&mut self, rules: Rules) {
         self.rules = rules;
     }
@@ -175,97 +180,99 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// Requests that run at an upstream.
+    /// Returns the number of requests that run at an upstream.
     #[must_use]
     pub fn running(&self, upstream: &id::Upstream) -> u32 {
         self.members.get(upstream).map_or(0, Member::running)
     }
 
-    /// Whether it matters what its upstreams hold of prompts.
+    /// Whether the upstreams are engines, so that their cached prefixes matter.
     #[must_use]
     pub fn has_engines(&self) -> bool {
         self.rules.engine.is_some()
     }
 
-    /// Requests that wait, for a place or for what another one reads.
+    /// Returns the number of requests that wait, for a slot or for another request's prefill.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len() + self.following.len()
     }
 
-    /// What each customer has of it.
+    /// Returns the accounts of the service's customers.
     #[must_use]
     pub fn shares(&self) -> &Shares {
         &self.shares
     }
 
-    /// Its upstreams.
+    /// Iterates over the upstreams.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Members that were looked at so far, for decisions and for what entries say. What one of these takes follows from it.
+    /// Returns the number of members that were scanned so far, for decisions and for messages of entry routers. The
+    /// time of a decision or a message is proportional to the members that it scans.
     #[must_use]
     pub fn looks(&self) -> u64 {
-        self.looks.get()
+        self.scanned_members.get()
     }
 
-    /// Some members are looked at.
-    pub(super) fn count_looks(&self, members: usize) {
-        self.looks.set(self.looks.get() + members as u64);
+    /// Adds to the number of scanned members.
+    pub(super) fn count_scanned(&self, members: usize) {
+        self.scanned_members.set(self.scanned_members.get() + members as u64);
     }
 
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// Who wants more than its share since this was asked last, while requests wait, and who no longer does.
+    /// Returns the customers whose demand rose above their share since the last call, while requests wait, and those
+    /// whose demand fell below it.
     pub fn surpluses(&mut self, now: Moment) -> Vec<Surplus> {
         let level = if self.waiting.is_empty() { f64::INFINITY } else { self.level(now) };
         self.shares.surpluses(now, level)
     }
 
-    /// Sets the upstreams that exist.
+    /// Replaces the set of upstreams by those that exist in the store.
     pub fn set_members(&mut self, now: Moment, known: &[Listing]) -> Vec<Answer> {
-        let answers = self.list(now, known);
+        let answers = self.apply_listings(now, known);
         let named: BTreeSet<_> = known.iter().map(|listing| &listing.id).collect();
         let present = self.members.values().filter(|member| !member.is_gone());
         let gone: Vec<_> = present.map(|member| &member.id).filter(|id| !named.contains(id)).cloned().collect();
-        for life in gone {
-            self.lives.remove(&life.name());
-            self.leave(life);
+        for incarnation in gone {
+            self.incarnations.remove(&incarnation.name());
+            self.mark_gone(incarnation);
         }
-        self.settle(now, answers)
+        self.finish_update(now, answers)
     }
 
-    /// Takes what the store says of some upstreams, and the names of others that have gone.
+    /// Applies the changed records of some upstreams from the store, and the names of upstreams that were removed.
     pub fn update(&mut self, now: Moment, known: &[Listing], gone: &[id::Upstream]) -> Vec<Answer> {
-        let answers = self.list(now, known);
+        let answers = self.apply_listings(now, known);
         for name in gone {
-            if let Some(life) = self.lives.remove(name) {
-                self.leave(life);
+            if let Some(incarnation) = self.incarnations.remove(name) {
+                self.mark_gone(incarnation);
             }
         }
-        self.settle(now, answers)
+        self.finish_update(now, answers)
     }
 
-    /// Takes what the store says of some upstreams.
-    fn list(&mut self, now: Moment, known: &[Listing]) -> Vec<Answer> {
+    /// Applies the store's records of some upstreams.
+    fn apply_listings(&mut self, now: Moment, known: &[Listing]) -> Vec<Answer> {
         let memory = self.rules.engine.map_or(0, |memory| u64::from(memory.0));
         let cold = self.rules.cold.map_or(Duration::ZERO, |cold| cold.time);
         let first = self.members.is_empty();
         let mut answers = Vec::new();
         for listing in known {
-            // Most listings are of a life that is known to be the present one.
+            // Most listings are of the incarnation that is already the current one.
             if self.members.get(&listing.id).is_none_or(Member::is_gone) {
-                answers.extend(self.begin_life(now, &listing.id));
+                answers.extend(self.begin_incarnation(now, &listing.id));
             }
             let member = self.members.entry(listing.id.clone()).or_insert_with(|| {
                 let mut member = Member::new(listing.id.clone(), listing.zone.clone(), listing.slots, memory);
                 if first {
-                    self.untold.push(listing.id.clone());
+                    self.cache_unknown.push(listing.id.clone());
                 } else {
-                    // One that comes later has just begun, and holds nothing yet.
-                    member.known = true;
+                    // An upstream that is added later has just started, and its cache is empty.
+                    member.cache_known = true;
                     member.presume_cold(now + cold);
                 }
                 self.ring.insert(&member);
@@ -273,42 +280,44 @@
                 member
             });
             self.usable.remove(member);
-            member.list(now, listing);
+            member.apply_listing(now, listing);
             self.usable.add(member);
-            self.versions.place(member);
+            self.versions.set_admission(member);
             self.holders.follow(member);
         }
         answers
     }
 
-    /// Grants what waits, after members changed.
-    fn settle(&mut self, now: Moment, mut answers: Vec<Answer>) -> Vec<Answer> {
-        self.bury();
-        answers.extend(self.serve(now));
+    /// Grants waiting requests after members changed.
+    fn finish_update(&mut self, now: Moment, mut answers: Vec<Answer>) -> Vec<Answer> {
+        self.remove_gone();
+        answers.extend(self.grant_waiting(now));
         answers
     }
 
-    fn leave(&mut self, life: id::Upstream) {
-        if let Some(member) = self.members.get_mut(&life) {
+    fn mark_gone(&mut self, incarnation: id::Upstream) {
+        if let Some(member) = self.members.get_mut(&incarnation) {
             self.usable.remove(member);
-            member.go();
-            self.leaving.insert(life);
+            member.mark_gone();
+            self.leaving.insert(incarnation);
         }
     }
 
-    /// A life is the present one of its name from now on. What ran in an earlier one has ended with it, and nothing that is known
-    /// of that one is true of this.
-    fn begin_life(&mut self, now: Moment, life: &id::Upstream) -> Vec<Answer> {
-        let Some(earlier) = self.lives.insert(life.name(), life.clone()).filter(|earlier| earlier != life) else {
+    /// Makes an incarnation the current one of its name. The requests of an earlier incarnation ended with it, and none
+    /// of the state recorded for the earlier incarnation applies to the new one.
+    fn begin_incarnation(&mut self, now: Moment, incarnation: &id::Upstream) -> Vec<Answer> {
+        let Some(earlier) =
+            self.incarnations.insert(incarnation.name(), incarnation.clone()).filter(|earlier| earlier != incarnation)
+        else {
             return Vec::new();
         };
-        let held: Vec<_> = self.members.get(&earlier).map_or_else(Vec::new, |member| member.which(|_| true));
-        self.leave(earlier);
+        let held: Vec<_> = self.members.get(&earlier).map_or_else(Vec::new, |member| member.attempts_where(|_| true));
+        self.mark_gone(earlier);
         held.into_iter().flat_map(|attempt| self.release(now, attempt, Outcome::Ended, None)).collect()
     }
 
-    /// Drops the upstreams that are gone once nothing runs there any more.
-    fn bury(&mut self) {
+    /// Removes upstreams that have left the store, once no request runs there any more.
+    fn remove_gone(&mut self) {
         if self.leaving.is_empty() {
             return;
         }
@@ -327,55 +336,56 @@
         });
     }
 
-    /// Sets the zones none of whose routers is heard of: where upstreams are silent, too, they are behind a cut.
-    pub fn set_dark(&mut self, dark: BTreeSet<id::Zone>) {
-        self.dark = dark;
+    /// Sets the zones none of whose routers responds. If their upstreams are unresponsive as well, such zones are
+    /// treated as partitioned.
+    pub fn set_dark(&mut self, unresponsive_zones: BTreeSet<id::Zone>) {
+        self.unresponsive_zones = unresponsive_zones;
     }
 
-    /// An entry asks for an upstream; no answer means that the request waits.
+    /// Handles an entry router's request for an upstream. If the result holds no answer for it, the request waits.
     pub fn ask(&mut self, now: Moment, ask: Ask) -> Vec<Answer> {
-        self.learn(&ask);
-        self.count(now, &ask);
-        self.enter(now, ask, now)
+        self.learn_observed_prefix(&ask);
+        self.count_request(now, &ask);
+        self.admit(now, ask, now)
     }
 
-    /// An entry no longer waits for an answer.
+    /// Cancels an attempt whose entry router no longer waits for an answer.
     pub fn forget(&mut self, now: Moment, attempt: id::Attempt) -> Vec<Answer> {
         self.stop_waiting(attempt);
         self.stop_following(attempt);
         self.release(now, attempt, Outcome::Abandoned, None)
     }
 
-    /// The first event of an attempt came, this long after it was sent.
+    /// Records the first event of an attempt, which came `took` after the request was sent.
     pub fn begun(&mut self, now: Moment, attempt: id::Attempt, took: Duration) -> Vec<Answer> {
-        let Some(member) = self.places.get(attempt).and_then(|place| self.members.get_mut(place)) else {
+        let Some(member) = self.placements.get(attempt).and_then(|upstream| self.members.get_mut(upstream)) else {
             return Vec::new();
         };
-        let Some(hold) = member.begin(now, attempt) else {
+        let Some(hold) = member.record_first_event(now, attempt) else {
             return Vec::new();
         };
-        let Hold { reads, read, expected, .. } = &hold;
-        member.cache.finish(reads);
-        self.answered.insert(member.zone.clone(), now);
+        let Hold { new_parts, read, expected_ms, .. } = &hold;
+        member.cache.finish(new_parts);
+        self.last_answers.insert(member.zone.clone(), now);
         let took = took.as_secs_f64() * 1e3;
-        // Only what was read while nothing else was tells how long reading takes.
-        // What is on trial doesn't tell what is usual.
+        // Only a prefill that ran alone shows how long prefill takes. Answers of a version on trial don't change the
+        // model, since it describes the version that serves.
         let usual = member.admission != Admission::Trial;
-        if self.rules.engine.is_some() && member.ahead() == 0 && hold.copies.is_none() && usual {
-            self.reading.observe(f64::from(*read), took);
+        if self.rules.engine.is_some() && member.pending_prefill() == 0 && hold.source_zone.is_none() && usual {
+            self.prefill.observe(f64::from(*read), took);
         }
-        // How long a copy takes is no matter of this engine alone.
-        match &hold.copies {
-            Some(from) => self.paths.end(now, from, &member.zone, took, *expected),
-            None if *expected > 0.0 => member.health.took(now, (took + 20.0) / (expected + 20.0)),
+        // The time of a copy depends on the source and the path between the zones as well, not on this engine alone.
+        match &hold.source_zone {
+            Some(from) => self.paths.end(now, from, &member.zone, took, *expected_ms),
+            None if *expected_ms > 0.0 => member.health.took(now, (took + 20.0) / (expected_ms + 20.0)),
             None => {}
         }
-        self.stop_reading(reads, attempt);
+        self.stop_prefill(new_parts, attempt);
         self.watch_begin(now, attempt, &hold, took);
-        self.lead(now, attempt)
+        self.place_followers(now, attempt)
     }
 
-    /// An attempt ended; `took` is the time of a plain answer.
+    /// Records the end of an attempt; `took` is the time of a plain answer.
     pub fn release(
         &mut self,
         now: Moment,
@@ -383,18 +393,22 @@
         outcome: Outcome,
         took: Option<Duration>,
     ) -> Vec<Answer> {
-        let Some(place) = self.places.remove(attempt) else {
+        let Some(upstream) = self.placements.remove(attempt) else {
             return Vec::new();
         };
         self.shares.end(now, attempt);
-        // It matters only where something went wrong, and takes a look at all.
-        let usual = if matches!(outcome, Outcome::Failed | Outcome::Silent) { self.usual(now, &place) } else { 0.0 };
+        // The median matters only after a failure, and computing it scans members.
+        let median = if matches!(outcome, Outcome::Failed | Outcome::Silent) {
+            self.median_failure_rate(now, &upstream)
+        } else {
+            0.0
+        };
         let (mut read, mut held, mut is_overfull) = (Vec::new(), None, false);
-        if let Some(member) = self.members.get_mut(&place) {
+        if let Some(member) = self.members.get_mut(&upstream) {
             is_overfull = outcome == Outcome::Shed && member.running() > member.slots;
-            let hold = member.let_go(attempt);
-            // Without a first event it isn't certain that anything was read.
-            read = hold.as_ref().map(|hold| hold.reads.clone()).unwrap_or_default();
+            let hold = member.remove_hold(attempt);
+            // Without a first event it isn't certain that any part was prefilled.
+            read = hold.as_ref().map(|hold| hold.new_parts.clone()).unwrap_or_default();
             if outcome == Outcome::Served {
                 member.cache.finish(&read);
             } else {
@@ -402,42 +416,42 @@
                 self.holders.follow(member);
             }
             if let Some(took) = took {
-                held = hold.as_ref().filter(|hold| hold.expected > 0.0).map(|hold| (now.since(hold.since), took));
+                held = hold.as_ref().filter(|hold| hold.expected_ms > 0.0).map(|hold| (now.since(hold.since), took));
                 let took = took.as_secs_f64() * 1e3;
                 if member.admission != Admission::Trial {
-                    self.time += (took - self.time) * WEIGHT;
+                    self.mean_time_ms += (took - self.mean_time_ms) * MEAN_WEIGHT;
                 }
-                if hold.as_ref().is_some_and(|hold| hold.expected > 0.0) {
-                    member.health.took(now, (took + 5.0) / (self.time + 5.0));
+                if hold.as_ref().is_some_and(|hold| hold.expected_ms > 0.0) {
+                    member.health.took(now, (took + 5.0) / (self.mean_time_ms + 5.0));
                 }
             }
-            member.health.observe(now, outcome, usual);
+            member.health.observe(now, outcome, median);
             if matches!(outcome, Outcome::Served | Outcome::Failed | Outcome::Shed) {
-                self.answered.insert(member.zone.clone(), now);
+                self.last_answers.insert(member.zone.clone(), now);
             }
             let is_new = member.is_new;
             if let Some(hold) = hold {
-                self.suspect(now, &place, &hold, outcome);
-                self.watch_end(now, (&place, is_new), &hold, outcome, took);
+                self.record_outcome(now, &upstream, &hold, outcome);
+                self.watch_end(now, (&upstream, is_new), &hold, outcome, took);
             }
         }
         if let Some((held, took)) = held {
-            self.learn_transit(held, took);
+            self.record_transit(held, took);
         } else if is_overfull {
-            self.doubt_transit();
+            self.halve_transit();
         }
-        self.stop_reading(&read, attempt);
-        let mut answers = self.lead(now, attempt);
-        answers.extend(self.serve(now));
+        self.stop_prefill(&read, attempt);
+        let mut answers = self.place_followers(now, attempt);
+        answers.extend(self.grant_waiting(now));
         answers
     }
 
-    /// An entry names all that it holds here.
+    /// Renews the holds of an entry router, which names all requests that it still runs here.
     pub fn renew(&mut self, now: Moment, entry: &id::Router, held: &[Held]) -> Vec<Answer> {
         for item in held {
-            if let Some(place) = self.places.get(item.attempt) {
-                if let Some(member) = self.members.get_mut(place) {
-                    member.name(item.attempt, now);
+            if let Some(upstream) = self.placements.get(item.attempt) {
+                if let Some(member) = self.members.get_mut(upstream) {
+                    member.renew_hold(item.attempt, now);
                 }
                 continue;
             }
@@ -447,84 +461,85 @@
             let hold = Hold {
                 entry: entry.clone(),
                 since: now,
-                named: now,
+                renewed: now,
                 read: item.read,
                 tokens: item.read,
-                expected: 0.0,
-                due: 0.0,
+                expected_ms: 0.0,
+                typical_ms: 0.0,
                 source: None,
                 route: item.route,
                 fingerprint: item.fingerprint,
                 output: 0,
-                begun: None,
-                told: false,
-                copies: None,
-                reads: Vec::new(),
+                first_event: None,
+                reported_slow: false,
+                source_zone: None,
+                new_parts: Vec::new(),
             };
-            member.hold(item.attempt, hold);
-            self.places.insert(now, item.attempt, item.upstream.clone(), entry.clone());
+            member.add_hold(item.attempt, hold);
+            self.placements.insert(now, item.attempt, item.upstream.clone(), entry.clone());
             self.shares.start(now, item.attempt, item.customer.as_ref());
         }
-        let named = self.places.hear(now, entry);
-        self.drop_holds(now, named, |hold| hold.named < now && now.since(hold.since) >= YOUNG);
-        self.serve(now)
+        let named = self.placements.renew(now, entry);
+        self.drop_holds(now, named, |hold| hold.renewed < now && now.since(hold.since) >= RENEWAL_GRACE);
+        self.grant_waiting(now)
     }
 
-    /// Lets time pass: waits end, holds that nobody names are dropped, customers that want nothing are forgotten.
+    /// Handles the passage of time: ends waits that are over, drops holds that weren't renewed, and removes idle
+    /// customers' accounts.
     pub fn tick(&mut self, now: Moment) -> Vec<Answer> {
-        let unheard = self.places.unheard(now, HOLD_TTL);
-        self.drop_holds(now, unheard, |hold| now.since(hold.named) >= HOLD_TTL);
+        let unheard = self.placements.expired(now, HOLD_TTL);
+        self.drop_holds(now, unheard, |hold| now.since(hold.renewed) >= HOLD_TTL);
         self.watch_running(now);
-        self.bury();
+        self.remove_gone();
         self.judge_suspects(now);
         self.shares.age(now);
         let mut answers = self.end_following(now);
-        answers.extend(self.serve(now));
+        answers.extend(self.grant_waiting(now));
         answers.extend(self.end_waiting(now));
         answers
     }
 
-    /// Drops those of some attempts whose entry no longer runs them.
+    /// Drops those of some attempts whose hold matches `gone`, since their entry router no longer runs them.
     fn drop_holds(&mut self, now: Moment, attempts: Vec<id::Attempt>, gone: impl Fn(&Hold) -> bool) {
-        self.count_looks(attempts.len());
+        self.count_scanned(attempts.len());
         for attempt in attempts {
-            let Some(member) = self.places.get(attempt).and_then(|place| self.members.get_mut(place)) else {
+            let Some(member) = self.placements.get(attempt).and_then(|upstream| self.members.get_mut(upstream)) else {
                 continue;
             };
             if !member.held().get(&attempt).is_some_and(&gone) {
                 continue;
             }
-            let hold = member.let_go(attempt);
-            self.places.remove(attempt);
+            let hold = member.remove_hold(attempt);
+            self.placements.remove(attempt);
             self.shares.end(now, attempt);
             if let Some(hold) = hold {
-                member.cache.lose(&hold.reads, attempt);
+                member.cache.lose(&hold.new_parts, attempt);
                 self.holders.follow(member);
-                self.stop_reading(&hold.reads, attempt);
+                self.stop_prefill(&hold.new_parts, attempt);
             }
         }
     }
 
-    /// An attempt no longer reads some parts.
-    fn stop_reading(&mut self, parts: &[u64], attempt: id::Attempt) {
+    /// Removes an attempt from the attempts that prefill some parts.
+    fn stop_prefill(&mut self, parts: &[u64], attempt: id::Attempt) {
         for part in parts {
-            if let Some(readers) = self.readers.get_mut(part) {
-                readers.retain(|reader| *reader != attempt);
-                if readers.is_empty() {
-                    self.readers.remove(part);
+            if let Some(prefilling) = self.prefilling.get_mut(part) {
+                prefilling.retain(|reader| *reader != attempt);
+                if prefilling.is_empty() {
+                    self.prefilling.remove(part);
                 }
             }
         }
     }
 
-    /// The share of bad outcomes among other upstreams: the median.
-    fn usual(&self, now: Moment, except: &id::Upstream) -> f64 {
-        let within = self.reach(now);
-        let others = self.stretch(except.hash64());
-        self.count_looks(others.len());
-        let others = others.into_iter().filter(|member| &member.id != except && within.reaches(member));
-        let mut shares: Vec<_> = others.map(|member| member.health.failing(now)).collect();
-        shares.sort_by(f64::total_cmp);
-        shares.get(shares.len() / 2).copied().unwrap_or(0.0)
+    /// Returns the median failure rate of the other upstreams.
+    fn median_failure_rate(&self, now: Moment, except: &id::Upstream) -> f64 {
+        let reach = self.reach(now);
+        let others = self.sample(except.hash64());
+        self.count_scanned(others.len());
+        let others = others.into_iter().filter(|member| &member.id != except && reach.reaches(member));
+        let mut rates: Vec<_> = others.map(|member| member.health.failing(now)).collect();
+        rates.sort_by(f64::total_cmp);
+        rates.get(rates.len() / 2).copied().unwrap_or(0.0)
     }
 }
--- a/crates/stairvale-dispatch/src/pool/allowance.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance.rs
@@ -1,8 +1,8 @@
-//! What an upstream may be given, and how fast.
+//! Limits on which upstreams may be given requests, and how fast.
 //!
-//! Four things limit it, and a decision asks them in one place, [`Pool::allows`]: whether work would [`reach`] it (it is in
-//! use, its zone isn't evacuated or behind a cut); what its [version](versions) may get; how it does by its
-//! [health](crate::health); and the pace that it bears while it is [`cold`].
+//! [`Pool::allows`] checks the four limits in one place: whether requests would [`reach`] the upstream (it is usable,
+//! and its zone is neither evacuated nor partitioned); the admission of its [version](versions); its
+//! [health](crate::health); and its rate limit while it is [`cold`].
 
 use stairvale_rollout::Admission;
 use stairvale_types::Moment;
@@ -15,83 +15,86 @@
 
 use reach::Reach;
 
-/// How strictly limits to what upstreams bear are taken.
+/// How strictly the rate limits of upstreams are applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Care {
-    /// Nobody is given as much as one that turns cold unseen couldn't bear, and who is cold at an unknown pace gets nothing.
-    Full,
-    /// Only what is known to be cold is limited: better than a refusal.
-    Known,
+pub(super) enum Limits {
+    /// Every upstream is limited to the rate that it could sustain if it had turned cold without a report yet, and a
+    /// cold upstream without a configured rate gets nothing.
+    Strict,
+    /// Only upstreams that are known to be cold are limited. This is better than refusing the request.
+    Relaxed,
 }
 
-/// Whom a decision looks at, and how carefully.
+/// A class of members that a decision considers, and how strictly their rate limits apply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Resort {
+pub(super) struct Tier {
     admission: Admission,
-    care: Care,
+    limits: Limits,
 }
 
-impl Resort {
-    /// Those that serve, with all care.
-    pub(super) const FIRST: Self = Self { admission: Admission::Any, care: Care::Full };
-    /// Those of a version on trial: it is never worth less care.
-    pub(super) const TRIAL: Self = Self { admission: Admission::Trial, care: Care::Full };
-    /// Those that serve, with less care.
-    const STRAINED: Self = Self { admission: Admission::Any, care: Care::Known };
-    /// Those that the fleet leaves: sooner than to overdo the others.
-    const LEAVING: Self = Self { admission: Admission::Last, care: Care::Full };
-    /// And those with less care.
-    const LAST: Self = Self { admission: Admission::Last, care: Care::Known };
-    /// Whom to look at in turn.
-    const SETTLED: [Self; 2] = [Self::FIRST, Self::STRAINED];
-    /// The same while the fleet moves to another version.
-    const MOVING: [Self; 4] = [Self::FIRST, Self::LEAVING, Self::STRAINED, Self::LAST];
+impl Tier {
+    /// Members that serve, with the strict limits.
+    pub(super) const FIRST: Self = Self { admission: Admission::Any, limits: Limits::Strict };
+    /// Members of a version on trial; their limits are always strict.
+    pub(super) const TRIAL: Self = Self { admission: Admission::Trial, limits: Limits::Strict };
+    /// Members that serve, with the relaxed limits.
+    const RELAXED: Self = Self { admission: Admission::Any, limits: Limits::Relaxed };
+    /// Members of the version that the fleet moves away from, with the strict limits: they are used before the limits
+    /// of the others are relaxed.
+    const LEAVING: Self = Self { admission: Admission::Last, limits: Limits::Strict };
+    /// Members of the version that the fleet moves away from, with the relaxed limits.
+    const LEAVING_RELAXED: Self = Self { admission: Admission::Last, limits: Limits::Relaxed };
+    /// The classes that a decision considers in turn.
+    const STEADY: [Self; 2] = [Self::FIRST, Self::RELAXED];
+    /// The classes that a decision considers in turn while the fleet moves to another version.
+    const MOVING: [Self; 4] = [Self::FIRST, Self::LEAVING, Self::RELAXED, Self::LEAVING_RELAXED];
 }
 
-/// What a decision knows of its moment and its request.
-pub(super) struct Chance<'a> {
+/// The moment and the request of a decision, with the reachable members.
+pub(super) struct Decision<'a> {
     pub(super) now: Moment,
     pub(super) ask: &'a Ask,
-    pub(super) within: &'a Reach<'a>,
-    /// Whether none that may serve it is well: any of them is better than a refusal then.
-    none_well: bool,
+    pub(super) reach: &'a Reach<'a>,
+    /// Whether none of the members that may serve the request is healthy: then an unhealthy one is better than a
+    /// refusal.
+    none_healthy: bool,
 }
 
-impl<'a> Chance<'a> {
-    pub(super) fn new(pool: &Pool, now: Moment, ask: &'a Ask, within: &'a Reach<'a>) -> Self {
-        let mut chance = Self { now, ask, within, none_well: false };
-        chance.none_well = !pool.members().any(|member| chance.serves(member) && member.health.is_open(now));
-        chance
+impl<'a> Decision<'a> {
+    pub(super) fn new(pool: &Pool, now: Moment, ask: &'a Ask, reach: &'a Reach<'a>) -> Self {
+        let mut decision = Self { now, ask, reach, none_healthy: false };
+        decision.none_healthy = !pool.members().any(|member| decision.may_serve(member) && member.health.is_open(now));
+        decision
     }
 
-    fn serves(&self, member: &Member) -> bool {
-        self.within.has(member) && self.suits(member)
+    fn may_serve(&self, member: &Member) -> bool {
+        self.reach.may_use(member) && self.permits(member)
     }
 
-    /// Whether the request may go there by what it says itself.
-    fn suits(&self, member: &Member) -> bool {
+    /// Whether the request itself permits the member.
+    fn permits(&self, member: &Member) -> bool {
         self.ask.allows(&member.zone) && !self.ask.avoid.contains(&member.id)
     }
 }
 
 impl Pool {
-    /// Whom a decision looks at, in turn.
-    pub(super) fn resorts(&self) -> &'static [Resort] {
-        if self.versions.is_moving() { &Resort::MOVING } else { &Resort::SETTLED }
+    /// Returns the classes of members that a decision considers in turn.
+    pub(super) fn tiers(&self) -> &'static [Tier] {
+        if self.versions.is_moving() { &Tier::MOVING } else { &Tier::STEADY }
     }
 
-    /// Whether a member may be given one more request now, as far as it isn't a matter of room.
-    pub(super) fn allows(&self, chance: &Chance<'_>, member: &Member, resort: Resort) -> bool {
-        if member.admission != resort.admission {
+    /// Whether a member may be given one more request now, apart from its free slots and memory.
+    pub(super) fn allows(&self, decision: &Decision<'_>, member: &Member, tier: Tier) -> bool {
+        if member.admission != tier.admission {
             return false;
         }
-        let open = member.health.is_open(chance.now);
-        let able = match resort.admission {
-            Admission::Any | Admission::Last => (chance.none_well || open) && chance.serves(member),
-            // Those that are well were chosen, if there are any.
-            Admission::Trial => chance.within.is_near(member) && chance.suits(member),
+        let open = member.health.is_open(decision.now);
+        let able = match tier.admission {
+            Admission::Any | Admission::Last => (decision.none_healthy || open) && decision.may_serve(member),
+            // Healthy members were selected for the trial, if there are any.
+            Admission::Trial => decision.reach.is_near(member) && decision.permits(member),
             Admission::Nothing => false,
         };
-        able && self.bears(chance.now, member, resort.care)
+        able && self.is_within_rate(decision.now, member, tier.limits)
     }
 }
--- a/crates/stairvale-dispatch/src/pool/allowance/versions.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/versions.rs
@@ -1,8 +1,8 @@
-//! What upstreams may be given by their versions: a roll-out's policy, and what is reserved for a version on trial.
+//! Admission of upstreams by their versions: the roll-out policy, and the reservation for a version on trial.
 //!
-//! A version on trial gets no more than was reserved for it, on a few upstreams that are chosen for each reservation in turn.
-//! Each of them is given as many of the service's requests as the busiest old one may get, so that what is bad under load
-//! shows, and every route gets its part.
+//! A version on trial gets at most the requests that were reserved for it, on a few upstreams that are selected anew in
+//! turn for each reservation. Each of them is given as many of the service's requests as the busiest upstream of the
+//! old version may get, so that faults under load show, and every route gets its share.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,60 +11,61 @@
 
 use crate::{Answer, Ask, Member, Pool};
 
-/// A route gets a request tried when this much of one is due to it: as many are given too soon as too late.
-const DUE: f64 = 0.5;
-/// What is due to a route at most, in requests: what it doesn't have in time goes to other routes.
-const DUE_MOST: f64 = 2.0;
-/// The part of what routes had before that counts with the next reservation.
-const KEPT: f64 = 0.5;
-/// Of the chosen ones none gets so many more than another one, in requests, while that one has room: which of them costs least
-/// may matter, and yet each is to be tried.
-const UNEVEN: u32 = 1;
-/// Chosen upstreams are looked at again after this long, whether they can still be given anything: short beside a
-/// reservation's time, and long beside the pause between two requests of a busy service.
-const LOOK: Duration = Duration::from_millis(20);
-/// A route of which fewer requests than this count is forgotten.
-const FORGOTTEN: f64 = 0.1;
+/// A route's request is tried once this much of a request is due to the route, so that as many are tried too early as
+/// too late.
+const TRY_THRESHOLD: f64 = 0.5;
+/// Maximum number of requests due to a route; requests beyond it go to other routes.
+const MAX_DUE: f64 = 2.0;
+/// Share of a route's past requests that counts for the next reservation.
+const PAST_REQUESTS_SHARE: f64 = 0.5;
+/// No selected upstream gets this many requests more than another one that has room: their costs may differ, but each
+/// of them has to be tried.
+const MAX_IMBALANCE: u32 = 1;
+/// Interval after which the selected upstreams are checked again for whether they can be given requests: short compared
+/// with the time of a reservation, long compared with the interval between two requests of a busy service.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A route with fewer requests than this is removed.
+const MIN_ROUTE_REQUESTS: f64 = 0.1;
 
-/// What one route is to get of a trial.
+/// The share of a trial that one route gets.
 #[derive(Clone, Copy, Debug, Default)]
-struct Portion {
-    /// Requests that could have been tried, older ones less and less.
-    seen: f64,
-    /// Requests that it is to get yet.
+struct RouteShare {
+    /// Requests that could have been tried; older ones count less.
+    requests: f64,
+    /// Requests that are due to the route.
     due: f64,
-    /// How many of its next requests aren't tried, this one included.
-    rests: u8,
+    /// How many of the next requests of the route aren't tried, including the current one.
+    skips: u8,
 }
 
-/// A reservation that is being given out.
+/// A reservation in use.
 #[derive(Clone, Debug)]
-struct Spell {
+struct ActiveReservation {
     reserved: Reservation,
-    /// Requests that are left of it.
+    /// Requests that remain of the reservation.
     left: u32,
-    /// The upstreams that it is given to, with how many of it each of them got.
-    chosen: Vec<(id::Upstream, u32)>,
-    /// When these were looked at last.
-    looked: Option<Moment>,
+    /// The selected upstreams, with the number of reserved requests that each of them got.
+    selected: Vec<(id::Upstream, u32)>,
+    /// When the selected upstreams were last checked.
+    last_check: Option<Moment>,
 }
 
-impl Spell {
-    fn lasts(&self, now: Moment) -> bool {
+impl ActiveReservation {
+    fn is_active(&self, now: Moment) -> bool {
         self.left > 0 && now < self.reserved.until
     }
 }
 
-/// What a service's versions may get.
+/// The admission of a service's versions.
 #[derive(Debug, Default)]
 pub(in crate::pool) struct Versions {
     policy: Option<Policy>,
-    spell: Option<Spell>,
+    active: Option<ActiveReservation>,
     /// The number of the last reservation.
-    turn: u64,
-    portions: BTreeMap<id::Route, Portion>,
-    /// Upstreams that carry what isn't tried, when the chosen ones were looked at last.
-    carrying: usize,
+    reservation_number: u64,
+    route_shares: BTreeMap<id::Route, RouteShare>,
+    /// The number of upstreams that served untried requests when the selected upstreams were last checked.
+    serving: usize,
 }
 
 impl Versions {
@@ -73,89 +74,91 @@
         self.policy.as_ref().is_some_and(|policy| policy.stage == Stage::Moving)
     }
 
-    /// Whether what becomes of requests is asked for.
+    /// Whether observations of requests are needed.
     pub(in crate::pool) fn is_watched(&self) -> bool {
         self.policy.as_ref().is_some_and(|policy| !policy.stage.is_over())
     }
 
-    /// Says what a member may be given from now on.
-    pub(in crate::pool) fn place(&self, member: &mut Member) {
+    /// Sets what a member may be given by its version.
+    pub(in crate::pool) fn set_admission(&self, member: &mut Member) {
         let version = member.version.as_ref();
         let policy = self.policy.as_ref();
         member.admission = policy.map_or(Admission::Any, |policy| policy.admits(version));
         member.is_new = policy.is_some_and(|policy| version == Some(&policy.target));
     }
 
-    /// Whether a request may be tried by what it is, and by what is reserved.
+    /// Whether a request may be tried, by its own properties and by the reservation.
     fn may_try(&self, now: Moment, ask: &Ask) -> bool {
-        let spell = self.spell.as_ref().filter(|spell| spell.lasts(now));
-        spell.is_some_and(|spell| ask.avoid.is_empty() && (ask.repeatable || spell.reserved.unrepeatable))
+        let active = self.active.as_ref().filter(|active| active.is_active(now));
+        active.is_some_and(|active| ask.avoid.is_empty() && (ask.repeatable || active.reserved.unrepeatable))
     }
 
-    /// The upstreams on trial that a request may go to, in two parts: those that are behind with what they get of the
-    /// reservation, and the others.
-    pub(in crate::pool) fn chosen(&self, now: Moment, ask: &Ask) -> [Vec<&id::Upstream>; 2] {
-        let (Some(spell), true) = (&self.spell, self.may_try(now, ask)) else {
+    /// Returns the upstreams on trial that a request may go to, in two groups: those that have got fewer reserved
+    /// requests, and the others.
+    pub(in crate::pool) fn selected(&self, now: Moment, ask: &Ask) -> [Vec<&id::Upstream>; 2] {
+        let (Some(active), true) = (&self.active, self.may_try(now, ask)) else {
             return [Vec::new(), Vec::new()];
         };
-        let portion = self.portions.get(&ask.route).copied().unwrap_or_default();
-        if portion.due < DUE || (portion.rests > 0 && self.carrying > 0) {
+        let share = self.route_shares.get(&ask.route).copied().unwrap_or_default();
+        if share.due < TRY_THRESHOLD || (share.skips > 0 && self.serving > 0) {
             return [Vec::new(), Vec::new()];
         }
-        let least = spell.chosen.iter().map(|(_, given)| *given).min().unwrap_or(0);
-        let part = |behind: bool| {
-            let part = spell.chosen.iter().filter(move |(_, given)| (*given <= least + UNEVEN) == behind);
-            part.map(|(id, _)| id).collect()
+        let least = active.selected.iter().map(|(_, given)| *given).min().unwrap_or(0);
+        let group = |behind: bool| {
+            let group = active.selected.iter().filter(move |(_, given)| (*given <= least + MAX_IMBALANCE) == behind);
+            group.map(|(id, _)| id).collect()
         };
-        [part(true), part(false)]
+        [group(true), group(false)]
     }
 
-    fn chosen_count(&self) -> usize {
-        self.spell.as_ref().map_or(0, |spell| spell.chosen.len())
+    fn selected_count(&self) -> usize {
+        self.active.as_ref().map_or(0, |active| active.selected.len())
     }
 
-    /// A request was given to a chosen one.
-    pub(in crate::pool) fn give(&mut self, route: id::Route, upstream: &id::Upstream) {
-        if let Some(spell) = &mut self.spell {
-            spell.left = spell.left.saturating_sub(1);
-            for (_, given) in spell.chosen.iter_mut().filter(|(id, _)| id == upstream) {
+    /// Records that a request was given to a selected upstream.
+    pub(in crate::pool) fn record_trial(&mut self, route: id::Route, upstream: &id::Upstream) {
+        if let Some(active) = &mut self.active {
+            active.left = active.left.saturating_sub(1);
+            for (_, given) in active.selected.iter_mut().filter(|(id, _)| id == upstream) {
                 *given += 1;
             }
         }
-        let is_whole = self.carrying > 1 && self.chosen_count() >= self.carrying;
-        let portion = self.portions.entry(route).or_default();
-        portion.due -= 1.0;
-        // One of two requests of a route goes to the old version at least, to be compared with; but where as many are chosen
-        // as carry the old version, they are to carry all of it for a moment.
-        portion.rests = if is_whole { 0 } else { 2 };
+        let carries_all = self.serving > 1 && self.selected_count() >= self.serving;
+        let share = self.route_shares.entry(route).or_default();
+        share.due -= 1.0;
+        // At most one of two requests of a route is tried, so that the old version is there for comparison. But where
+        // as many upstreams are selected as serve the old version, they are to carry the full load for a moment.
+        share.skips = if carries_all { 0 } else { 2 };
     }
 
-    /// A request came: what the chosen ones are to get of it is shared out among the routes, half of it by how many requests
-    /// they have and half of it alike.
+    /// Distributes a request's contribution to the trial among the routes, half of it by their numbers of requests and
+    /// half of it equally.
     #[allow(clippy::cast_precision_loss)]
-    fn share_out(&mut self, now: Moment, ask: &Ask, multiple: f64) {
-        let chosen = self.chosen_count();
+    fn distribute(&mut self, now: Moment, ask: &Ask, multiple: f64) {
+        let selected = self.selected_count();
         if self.may_try(now, ask) {
-            let portion = self.portions.entry(ask.route).or_default();
-            portion.seen += 1.0;
-            portion.rests = portion.rests.saturating_sub(1);
+            let share = self.route_shares.entry(ask.route).or_default();
+            share.requests += 1.0;
+            share.skips = share.skips.saturating_sub(1);
         }
-        let part = chosen as f64 / (self.carrying + chosen).max(1) as f64;
-        // As much as the busiest old one may carry: what is bad under load is to show while little depends on it.
-        let part = (part * multiple.max(1.0)).min(1.0);
-        let all: f64 = self.portions.values().map(|portion| portion.seen).sum();
-        let alike = 1.0 / self.portions.len().max(1) as f64;
-        let weight = |portion: &Portion| portion.seen / all + alike;
-        let open = self.portions.values().filter(|portion| portion.due < DUE_MOST);
+        let fraction = selected as f64 / (self.serving + selected).max(1) as f64;
+        // As much load as the busiest upstream of the old version may carry, so that faults under load show while few
+        // requests depend on the new version.
+        let fraction = (fraction * multiple.max(1.0)).min(1.0);
+        let all: f64 = self.route_shares.values().map(|share| share.requests).sum();
+        let equal = 1.0 / self.route_shares.len().max(1) as f64;
+        let weight = |share: &RouteShare| share.requests / all + equal;
+        let open = self.route_shares.values().filter(|share| share.due < MAX_DUE);
         let sum: f64 = open.map(weight).sum();
-        for portion in self.portions.values_mut().filter(|portion| portion.due < DUE_MOST) {
-            portion.due += part * weight(portion) / sum;
+        for share in self.route_shares.values_mut().filter(|share| share.due < MAX_DUE) {
+            share.due += fraction * weight(share) / sum;
         }
     }
 }
 
 impl Pool {
-    /// Sets what the upstreams' versions may be given; without a policy all are alike. What waits may find room by it.
+    /// Sets the roll-out policy; without a policy all versions are treated alike. Waiting requests may be granted as a
+    /// result.
     pub fn set_policy(&mut self, now: Moment, policy: Option<Policy>) -> Vec<Answer> {
         let before = self.versions.policy.as_ref();
         if before == policy.as_ref() {
@@ -165,42 +168,46 @@
         if !same {
             self.watch.clear(now);
         }
-        // What was reserved for one version's trial is nobody else's.
+        // A reservation for one version's trial can't be used by another.
         if !same || policy.as_ref().is_none_or(|policy| policy.stage != Stage::Trial) {
-            self.versions.spell = None;
-            self.versions.portions.clear();
+            self.versions.active = None;
+            self.versions.route_shares.clear();
         }
         self.versions.policy = policy;
         for member in self.members.values_mut() {
-            self.versions.place(member);
+            self.versions.set_admission(member);
         }
-        self.serve(now)
+        self.grant_waiting(now)
     }
 
-    /// The version on trial may be given this, in place of what is left of the last reservation.
+    /// Sets a reservation for the version on trial; it replaces what remains of the last one.
     pub fn reserve(&mut self, reservation: Reservation) {
         let versions = &mut self.versions;
-        versions.turn += 1;
-        for portion in versions.portions.values_mut() {
-            portion.seen *= KEPT;
+        versions.reservation_number += 1;
+        for share in versions.route_shares.values_mut() {
+            share.requests *= PAST_REQUESTS_SHARE;
         }
-        versions.portions.retain(|_, portion| portion.seen >= FORGOTTEN);
-        versions.spell =
-            Some(Spell { reserved: reservation, left: reservation.requests, chosen: Vec::new(), looked: None });
+        versions.route_shares.retain(|_, share| share.requests >= MIN_ROUTE_REQUESTS);
+        versions.active = Some(ActiveReservation {
+            reserved: reservation,
+            left: reservation.requests,
+            selected: Vec::new(),
+            last_check: None,
+        });
     }
 
-    /// What a roll-out's decisions need to know of the upstreams.
+    /// Returns the state of the upstreams that the roll-out controller decides by.
     #[must_use]
     pub fn facts(&self, now: Moment) -> Facts {
         let mut facts = Facts::default();
-        let mut told: BTreeMap<Option<&id::Version>, usize> = BTreeMap::new();
-        let within = self.reach(now);
+        let mut serving_counts: BTreeMap<Option<&id::Version>, usize> = BTreeMap::new();
+        let reach = self.reach(now);
         for member in self.members.values() {
-            // One that failed and is only being tried can't be counted on.
+            // A member that failed and is only being probed doesn't count as ready.
             let may = member.admission != Admission::Nothing;
-            // But whether one that is on trial fails is just what is to be found out.
-            let well = !member.health.is_trial() || member.admission == Admission::Trial;
-            let ready = usize::from(may && within.reaches(member) && well);
+            // But a member on trial counts, since the trial has to show whether it fails.
+            let healthy = !member.health.is_trial() || member.admission == Admission::Trial;
+            let ready = usize::from(may && reach.reaches(member) && healthy);
             if member.is_new {
                 facts.ready_new += ready;
                 facts.running_new += member.running();
@@ -209,62 +216,64 @@
             facts.ready_old += ready;
             facts.running_old += member.running();
             if member.serves() {
-                *told.entry(member.version.as_ref()).or_default() += 1;
+                *serving_counts.entry(member.version.as_ref()).or_default() += 1;
             }
         }
-        facts.serving = told.into_iter().max_by_key(|(_, count)| *count).and_then(|(version, _)| version.cloned());
+        facts.serving =
+            serving_counts.into_iter().max_by_key(|(_, count)| *count).and_then(|(version, _)| version.cloned());
         facts
     }
 
-    /// A request was asked for.
-    pub(in crate::pool) fn count(&mut self, now: Moment, ask: &Ask) {
+    /// Counts a request for the roll-out.
+    pub(in crate::pool) fn count_request(&mut self, now: Moment, ask: &Ask) {
         if !self.versions.is_watched() || !ask.avoid.is_empty() {
             return;
         }
         self.watch.count();
-        if self.versions.spell.as_ref().is_some_and(|spell| spell.lasts(now)) {
-            self.choose(now);
-            self.versions.share_out(now, ask, self.rules.multiple);
+        if self.versions.active.as_ref().is_some_and(|active| active.is_active(now)) {
+            self.select(now);
+            self.versions.distribute(now, ask, self.rules.multiple);
         }
     }
 
-    /// Chooses the upstreams that a reservation is given to, and others in place of those that can't be given anything any
-    /// more: those first that weren't chosen for the longest time.
-    fn choose(&mut self, now: Moment) {
-        let due = |spell: &mut Spell| spell.looked.is_none_or(|at| now.since(at) >= LOOK);
-        let Some(mut spell) = self.versions.spell.take_if(due) else {
+    /// Selects the upstreams that get the reserved requests, and replaces those that can't be given requests any more.
+    /// Members that weren't selected for the longest time come first.
+    fn select(&mut self, now: Moment) {
+        let due = |active: &mut ActiveReservation| active.last_check.is_none_or(|at| now.since(at) >= CHECK_INTERVAL);
+        let Some(mut active) = self.versions.active.take_if(due) else {
             return;
         };
-        spell.looked = Some(now);
-        let within = self.reach(now);
-        let carries = |member: &&Member| {
-            member.admission == Admission::Any && within.reaches(member) && !member.health.is_trial()
-        };
-        let carrying = self.members.values().filter(carries).count();
-        let near = |member: &Member| member.admission == Admission::Trial && within.is_near(member);
-        // Where all have failed so often that anybody else would leave them alone, they are tried all the same: two of a few
-        // failures each may be chance, and only more of them show that it is the version.
+        active.last_check = Some(now);
+        let reach = self.reach(now);
+        let serves_untried =
+            |member: &&Member| member.admission == Admission::Any && reach.reaches(member) && !member.health.is_trial();
+        let serving = self.members.values().filter(serves_untried).count();
+        let near = |member: &Member| member.admission == Admission::Trial && reach.is_near(member);
+        // If all have failed so often that other requests would avoid them, they are tried all the same: two of them
+        // with a few failures each may be chance, and only more failures show that the version is the cause.
         let any_open = self.members.values().any(|member| near(member) && member.health.is_open(now));
         let fits = |member: &Member| near(member) && (!any_open || member.health.is_open(now));
-        spell.chosen.retain(|(id, _)| self.members.get(id).is_some_and(fits));
-        let lacks = spell.reserved.over.saturating_sub(spell.chosen.len());
+        active.selected.retain(|(id, _)| self.members.get(id).is_some_and(fits));
+        let missing = active.reserved.over.saturating_sub(active.selected.len());
         let mut others = Vec::new();
-        if lacks > 0 {
-            let is_chosen = |member: &Member| spell.chosen.iter().any(|(id, _)| *id == member.id);
-            let fit = self.members.values().filter(|member| fits(member) && !is_chosen(member));
-            let bears = |member: &Member| self.bears(now, member, super::Care::Full);
-            others.extend(fit.map(|member| (!bears(member), member.turn, member.hash, member.id.clone())));
+        if missing > 0 {
+            let is_selected = |member: &Member| active.selected.iter().any(|(id, _)| *id == member.id);
+            let fit = self.members.values().filter(|member| fits(member) && !is_selected(member));
+            let within_rate = |member: &Member| self.is_within_rate(now, member, super::Limits::Strict);
+            others.extend(
+                fit.map(|member| (!within_rate(member), member.last_reservation, member.hash, member.id.clone())),
+            );
             others.sort_unstable();
-            others.truncate(lacks);
+            others.truncate(missing);
         }
-        let least = spell.chosen.iter().map(|(_, given)| *given).min().unwrap_or(0);
+        let least = active.selected.iter().map(|(_, given)| *given).min().unwrap_or(0);
         for (_, _, _, id) in others {
             if let Some(member) = self.members.get_mut(&id) {
-                member.turn = self.versions.turn;
+                member.last_reservation = self.versions.reservation_number;
             }
-            spell.chosen.push((id, least));
+            active.selected.push((id, least));
         }
-        self.versions.spell = Some(spell);
-        self.versions.carrying = carrying;
+        self.versions.active = Some(active);
+        self.versions.serving = serving;
     }
 }
--- a/crates/stairvale-dispatch/src/pool/choose.rs
+++ b/crates/stairvale-dispatch/src/pool/choose.rs
@@ -1,4 +1,5 @@
-//! Which upstream serves a request: who has room under the bound, and what serving it there costs.
+//! Selection of the upstream for a request: which members have room under the load bound, and what serving the request
+//! there costs.
 
 use std::time::Duration;
 
@@ -8,63 +9,64 @@
 
 use super::{
     Pool,
-    allowance::{Chance, Resort, reach::Reach},
-    quarantine::Sphere,
+    allowance::{Decision, Tier, reach::Reach},
+    quarantine::Scope,
 };
 use crate::{Answer, Ask, Member, Part, Verdict, cache, member::Hold};
 
-/// What each running request costs the next one, in ms; it spreads work that would be as well anywhere.
-const CROWD_MS: f64 = 1.5;
-/// What an upstream of another availability zone costs, in ms.
-const CROSS_ZONE_MS: f64 = 10.0;
-/// What the next one in the order of a prompt's home costs, in ms, so that routers choose alike.
-const RANK_STEP_MS: f64 = 0.4;
-/// Reading shared parts again holds others up and takes memory: a token costs the time of reading this many, beside its own
-/// (docs/POLICY.md, "Time as a line").
-const REREAD_WEIGHT: f64 = 16.0;
-/// What copying a token from another engine costs, in the time of reading one (there, too).
-const COPY: f64 = 3.0;
-/// The time that copying a token takes, beside reading it.
-const COPY_TIME: f64 = 0.15;
-/// Within this share of the objective it is worth little to be sooner.
-const EASE: f64 = 0.35;
-/// What a ms costs within it.
-const SOONER: f64 = 0.3;
-/// What a ms costs beyond it.
-const LATER: f64 = 1.5;
-/// Fewer tokens aren't worth copying.
-const COPY_LEAST: u32 = 96;
-/// What a failing upstream costs, in ms at a failure rate of 1.
-const FAILING: f64 = 400.0;
-/// What it is worth to try an upstream that failed, in ms.
-const TRIAL: f64 = 20.0;
-/// The share of an engine's memory that requests may fill beside shared parts.
-const FILL: f64 = 0.85;
+/// Cost of each request that already runs at a member, in ms; it spreads work that would otherwise cost the same
+/// anywhere.
+const RUNNING_COST_MS: f64 = 1.5;
+/// Cost of an upstream in another availability zone, in ms.
+const CROSS_ZONE_COST_MS: f64 = 10.0;
+/// Cost of each step back in a prompt's rendezvous order, in ms, so that routers make the same choice.
+const RANK_STEP_COST_MS: f64 = 0.4;
+/// Prefilling shared parts again delays other requests and takes memory: beside its own time, a token costs the time of
+/// prefilling this many (docs/POLICY.md, "Time as a line").
+const REPREFILL_COST_RATIO: f64 = 16.0;
+/// Cost of copying a token from another engine, relative to prefilling one; the source is loaded as well.
+const COPY_COST_RATIO: f64 = 3.0;
+/// Time of copying a token, relative to prefilling it.
+const COPY_TIME_RATIO: f64 = 0.15;
+/// Share of the objective within which a sooner answer is worth little.
+const EARLY_SHARE: f64 = 0.35;
+/// Cost of a ms within that share of the objective.
+const EARLY_COST: f64 = 0.3;
+/// Cost of a ms beyond that share of the objective.
+const LATE_COST: f64 = 1.5;
+/// Fewer tokens than this aren't worth copying.
+const MIN_COPY_TOKENS: u32 = 96;
+/// Cost of a failing upstream, in ms at a failure rate of 1.
+const FAILURE_COST_MS: f64 = 400.0;
+/// Value of probing an upstream that failed, in ms.
+const PROBE_VALUE_MS: f64 = 20.0;
+/// Share of an engine's memory that requests may fill beside shared parts.
+const MEMORY_FILL_RATIO: f64 = 0.85;
 
-/// What serving a request at one member comes to.
+/// The cost of serving a request at one member.
 #[derive(Clone, Debug)]
 struct Bid<'a> {
-    /// In ms, by what it is worth to be sooner and what the work costs others.
+    /// The cost in ms: the value of an earlier answer, and the load that the request puts on others.
     cost: f64,
-    /// The time to the first event, in ms.
-    expected: f64,
-    /// The same if the upstream is neither slower nor faster than the others.
-    due: f64,
+    /// The expected time to the first event, in ms.
+    expected_ms: f64,
+    /// The expected time if the upstream is neither slower nor faster than the others, in ms.
+    typical_ms: f64,
     upstream: &'a id::Upstream,
-    /// Tokens that it has to read.
+    /// Tokens that the upstream has to prefill.
     read: u32,
-    /// From where it copies what it doesn't hold.
+    /// The engine from which it copies parts that it doesn't hold.
     source: Option<&'a id::Upstream>,
 }
 
-/// Ranks beyond which a step back costs nothing more.
-const STEPS: usize = 25;
+/// The rank beyond which further steps back cost nothing more.
+const RANK_STEPS: usize = 25;
 
-/// The order in which any router would try the members for a prompt (rendezvous hashing).
+/// The order in which every router ranks the members for a prompt (rendezvous hashing).
 struct Order {
     key: u64,
     /// The scores of the first members, the highest first.
-    first: Vec<u64>,
+    top: Vec<u64>,
 }
 
 impl Order {
@@ -72,111 +74,111 @@
         mix(self.key, member.hash)
     }
 
-    /// The rank of a score; [`STEPS`] for all that come later.
-    fn index(&self, score: u64) -> usize {
-        self.first.partition_point(|other| *other > score)
+    /// Returns the rank of a score; [`RANK_STEPS`] for all that come later.
+    fn rank(&self, score: u64) -> usize {
+        self.top.partition_point(|other| *other > score)
     }
 }
 
-/// What a decision knows before it looks at members.
-struct Look<'a> {
-    /// The most that one upstream may run.
+/// The inputs of a decision that are computed before it scans members.
+struct Inputs<'a> {
+    /// The load bound: the maximum number of requests that one upstream may run.
     bound: f64,
-    /// Where it may go by what is suspected of it.
-    sphere: Sphere,
-    /// Who could be copied from, with tokens that it holds.
-    covers: Vec<(u32, &'a id::Upstream)>,
+    /// The members that the request may go to, by the upstreams that crashed under it.
+    scope: Scope,
+    /// Members that can be copied from, with the number of tokens that each holds.
+    sources: Vec<(u32, &'a id::Upstream)>,
     order: Order,
-    chance: Chance<'a>,
+    decision: Decision<'a>,
 }
 
 impl Pool {
-    /// The most that one upstream may run, by the set multiple of the mean.
+    /// Returns the load bound: the configured multiple of the mean number of requests, plus the slack.
     #[allow(clippy::cast_precision_loss)]
-    fn bound(&self, within: &Reach<'_>) -> f64 {
+    fn bound(&self, reach: &Reach<'_>) -> f64 {
         if self.rules.multiple <= 0.0 {
             return f64::MAX;
         }
-        let usable = if within.is_whole() {
+        let usable = if reach.all_reachable() {
             self.usable.all()
-        } else if self.usable.zones().all(|zone| within.reaches_zone(zone).is_some()) {
-            self.usable.within(|zone| within.reaches_zone(zone) == Some(true))
+        } else if self.usable.zones().all(|zone| reach.reaches_zone(zone).is_some()) {
+            self.usable.in_zones(|zone| reach.reaches_zone(zone) == Some(true))
         } else {
-            self.members.values().filter(|member| within.reaches(member)).count()
+            self.members.values().filter(|member| reach.reaches(member)).count()
         };
-        let mean = self.places.len() as f64 / usable.max(1) as f64;
-        // One less than allowed: what is on its way isn't seen by everybody at once.
+        let mean = self.placements.len() as f64 / usable.max(1) as f64;
+        // One less than allowed, since grants that are on their way aren't visible to every router at once.
         (mean * self.rules.multiple + self.rules.slack - 1.0).max(1.0)
     }
 
     #[allow(clippy::cast_precision_loss)]
     fn has_room(&self, member: &Member, ask: &Ask, bound: f64) -> bool {
-        if member.running() >= self.places(member) || f64::from(member.running()) >= bound {
+        if member.running() >= self.request_limit(member) || f64::from(member.running()) >= bound {
             return false;
         }
         if member.memory == 0 || member.held().is_empty() {
             return true;
         }
         let own = ask.parts.last().map_or(0, |part| part.tokens) + ask.output;
-        (member.taken() + u64::from(own)) as f64 <= member.memory as f64 * FILL
+        (member.unshared_tokens() + u64::from(own)) as f64 <= member.memory as f64 * MEMORY_FILL_RATIO
     }
 
-    /// Gives the request to the member that serves it soonest, if any has room.
+    /// Grants the request to the member with the lowest cost, if any has room.
     pub(super) fn grant(&mut self, now: Moment, ask: &Ask) -> Option<Answer> {
-        let within = self.reach(now);
-        let bound = self.bound(&within);
+        let reach = self.reach(now);
+        let bound = self.bound(&reach);
         let full = self.full_holders(ask);
         let key = rank_key(&ask.parts);
-        // Prompts of one beginning go to the same few; what has no prompt is spread over all.
-        let stretch = self.stretch(if ask.parts.is_empty() { mix(key, ask.attempt.0 as u64) } else { key });
-        let look = Look {
+        // Prompts with the same prefix go to the same few members; requests without a prompt are spread over all.
+        let sample = self.sample(if ask.parts.is_empty() { mix(key, ask.attempt.0 as u64) } else { key });
+        let inputs = Inputs {
             bound,
-            sphere: self.sphere(ask),
-            covers: self.covers(ask, &within, &full),
-            order: self.order(key, &stretch),
-            chance: Chance::new(self, now, ask, &within),
+            scope: self.scope(ask),
+            sources: self.sources(ask, &reach, &full),
+            order: self.order(key, &sample),
+            decision: Decision::new(self, now, ask, &reach),
         };
-        let tried = self.versions.chosen(now, ask).iter().find_map(|part| {
+        let tried = self.versions.selected(now, ask).iter().find_map(|part| {
             let members: Vec<_> = part.iter().filter_map(|id| self.members.get(*id)).collect();
-            self.best(&look, &members, Resort::TRIAL)
+            self.best(&inputs, &members, Tier::TRIAL)
         });
         let is_tried = tried.is_some();
         let cheapest = tried.or_else(|| {
-            let enough = self.least_elsewhere(ask);
-            self.best(&look, &full, Resort::FIRST).filter(|bid| bid.cost <= enough).or_else(|| {
-                let some = self.shortlist(ask, stretch);
+            let cost_limit = self.min_cost_elsewhere(ask);
+            self.best(&inputs, &full, Tier::FIRST).filter(|bid| bid.cost <= cost_limit).or_else(|| {
+                let some = self.shortlist(ask, sample);
                 let all = || self.members.values().collect::<Vec<_>>();
-                self.resorts().iter().find_map(|resort| {
-                    let of_all = || if self.looks_at_all() { None } else { self.best(&look, &all(), *resort) };
-                    self.best(&look, &some, *resort).or_else(of_all)
+                self.tiers().iter().find_map(|tier| {
+                    let of_all = || if self.scans_all() { None } else { self.best(&inputs, &all(), *tier) };
+                    self.best(&inputs, &some, *tier).or_else(of_all)
                 })
             })
         });
         let bid = cheapest?;
         let (upstream, source) = (bid.upstream.clone(), bid.source.cloned());
-        let Bid { expected, due, read, .. } = bid;
+        let Bid { expected_ms, typical_ms, read, .. } = bid;
         if is_tried {
-            self.versions.give(ask.route, &upstream);
+            self.versions.record_trial(ask.route, &upstream);
         }
-        self.hold(now, ask, &upstream, (read, expected, due), source.clone());
+        self.record_grant(now, ask, &upstream, (read, expected_ms, typical_ms), source.clone());
         let verdict = Verdict::Granted { upstream, read, source };
         Some(Answer { entry: ask.entry.clone(), attempt: ask.attempt, verdict })
     }
 
-    /// The cheapest of some members.
-    fn best<'a>(&self, look: &Look<'a>, members: &[&'a Member], resort: Resort) -> Option<Bid<'a>> {
-        let Chance { now, ask, .. } = look.chance;
+    /// Returns the bid with the lowest cost among some members.
+    fn best<'a>(&self, inputs: &Inputs<'a>, members: &[&'a Member], tier: Tier) -> Option<Bid<'a>> {
+        let Decision { now, ask, .. } = inputs.decision;
         let candidate = |member: &Member| {
-            look.sphere.has(member)
-                && self.allows(&look.chance, member, resort)
-                && self.has_room(member, ask, look.bound)
+            inputs.scope.contains(member)
+                && self.allows(&inputs.decision, member, tier)
+                && self.has_room(member, ask, inputs.bound)
         };
-        self.count_looks(members.len());
+        self.count_scanned(members.len());
         let mut best: Option<(Bid<'a>, u64)> = None;
         for member in members.iter().filter(|member| candidate(member)) {
-            let score = look.order.score(member);
-            let bid = self.bid(now, member, ask, &look.covers, look.order.index(score));
-            // Of two that cost the same the one that ranks first, as any router would have it.
+            let score = inputs.order.score(member);
+            let bid = self.bid(now, member, ask, &inputs.sources, inputs.order.rank(score));
+            // Of two members with equal costs, the one that ranks first wins, as it does at every router.
             if best.as_ref().is_none_or(|(best, top)| (bid.cost, *top) < (best.cost, score)) {
                 best = Some((bid, score));
             }
@@ -184,9 +186,9 @@
         best.map(|(bid, _)| bid)
     }
 
-    /// The members that hold all that a prompt shares with others.
+    /// Returns the members that hold all shared parts of a prompt.
     fn full_holders(&self, ask: &Ask) -> Vec<&Member> {
-        let Some(last) = ask.shared().last().filter(|_| !self.whole_look) else {
+        let Some(last) = ask.shared().last().filter(|_| !self.scan_all) else {
             return Vec::new();
         };
         let shared: u32 = ask.shared().iter().map(|part| part.tokens).sum();
@@ -194,15 +196,16 @@
         holders.filter(|member| member.cache.covers(ask.shared()) == shared).collect()
     }
 
-    /// Members that hold a part of a prompt.
+    /// Returns members that hold one part of a prompt.
     fn some_holders(&self, part: &Part, ask: &Ask) -> impl Iterator<Item = &Member> {
         let holders = self.holders.some_of(part.id, ask.attempt.0 as u64);
         holders.filter_map(|id| self.members.get(id))
     }
 
-    /// Members that hold some of what a prompt shares with others, at most [`STRETCH`] for each part; of a small fleet all members.
+    /// Returns members that hold some of a prompt's shared parts, at most [`SAMPLE_SIZE`] for each part; in a small
+    /// fleet all members.
     fn partial_holders(&self, ask: &Ask) -> Vec<&Member> {
-        if self.looks_at_all() {
+        if self.scans_all() {
             return self.members.values().collect();
         }
         let mut holders: Vec<_> = ask.shared().iter().flat_map(|part| self.some_holders(part, ask)).collect();
@@ -211,175 +214,177 @@
         holders
     }
 
-    /// Whom a decision looks at: those that hold some of the prompt, and a stretch of all; of a small fleet all members.
-    fn shortlist<'a>(&'a self, ask: &Ask, stretch: Vec<&'a Member>) -> Vec<&'a Member> {
+    /// Returns the members that a decision scans: those that hold some of the prompt, and a sample of all; in a small
+    /// fleet all members.
+    fn shortlist<'a>(&'a self, ask: &Ask, sample: Vec<&'a Member>) -> Vec<&'a Member> {
         let mut some = self.partial_holders(ask);
-        if !self.looks_at_all() {
-            some.extend(stretch);
+        if !self.scans_all() {
+            some.extend(sample);
             some.sort_unstable_by_key(|member| member.hash);
             some.dedup_by_key(|member| member.hash);
         }
         some
     }
 
-    /// The least that a member can cost which lacks the last of a prompt's shared parts: it copies that at least, which costs
-    /// less than to read it, and nothing else is ahead of the prompt.
-    fn least_elsewhere(&self, ask: &Ask) -> f64 {
+    /// Returns a lower bound of the cost at a member that lacks the last of a prompt's shared parts: it copies at least
+    /// that part, which costs less than prefilling it, and nothing is queued ahead of the prompt.
+    fn min_cost_elsewhere(&self, ask: &Ask) -> f64 {
         let (Some(own), Some(last)) = (ask.parts.last(), ask.shared().last()) else {
             return f64::MIN;
         };
-        let (own, lacks) = (f64::from(own.tokens), f64::from(last.tokens));
-        let time = self.reading.first(own + lacks * COPY_TIME);
-        lateness(time, ask.objective) + self.reading.time(lacks * COPY) - TRIAL
+        let (own, missing) = (f64::from(own.tokens), f64::from(last.tokens));
+        let time = self.prefill.first(own + missing * COPY_TIME_RATIO);
+        lateness(time, ask.objective) + self.prefill.time(missing * COPY_COST_RATIO) - PROBE_VALUE_MS
     }
 
-    fn hold(
+    fn record_grant(
         &mut self,
         now: Moment,
         ask: &Ask,
         upstream: &id::Upstream,
-        (read, expected, due): (u32, f64, f64),
+        (read, expected_ms, typical_ms): (u32, f64, f64),
         source: Option<id::Upstream>,
     ) {
-        let copies = source.as_ref().and_then(|source| self.members.get(source)).map(|source| source.zone.clone());
-        let expected = if self.rules.engine.is_some() { expected } else { self.time };
+        let source_zone = source.as_ref().and_then(|source| self.members.get(source)).map(|source| source.zone.clone());
+        let expected_ms = if self.rules.engine.is_some() { expected_ms } else { self.mean_time_ms };
         let own = ask.parts.last().map_or(0, |part| part.tokens);
         let Some(member) = self.members.get_mut(upstream) else {
             return;
         };
-        if let Some(from) = &copies {
+        if let Some(from) = &source_zone {
             self.paths.begin(now, from, &member.zone);
         }
-        let reads = member.cache.begin(&ask.parts, ask.attempt);
+        let new_parts = member.cache.begin(&ask.parts, ask.attempt);
         self.holders.follow(member);
         member.health.given(now);
-        member.give(now);
+        member.record_grant(now);
         let tokens = own + ask.output;
         let hold = Hold {
             entry: ask.entry.clone(),
             since: now,
-            named: now,
+            renewed: now,
             read,
             tokens,
-            expected,
-            due,
+            expected_ms,
+            typical_ms,
             source,
-            copies,
+            source_zone,
             route: ask.route,
             fingerprint: ask.fingerprint,
             output: ask.output,
-            begun: None,
-            told: false,
-            reads: reads.clone(),
+            first_event: None,
+            reported_slow: false,
+            new_parts: new_parts.clone(),
         };
-        member.hold(ask.attempt, hold);
-        for part in reads {
-            self.readers.entry(part).or_default().push(ask.attempt);
+        member.add_hold(ask.attempt, hold);
+        for part in new_parts {
+            self.prefilling.entry(part).or_default().push(ask.attempt);
         }
-        self.places.insert(now, ask.attempt, upstream.clone(), ask.entry.clone());
+        self.placements.insert(now, ask.attempt, upstream.clone(), ask.entry.clone());
     }
 
-    /// The two members that hold most of a prompt's shared parts and can be copied from, the one with most first.
-    fn covers<'a>(&'a self, ask: &Ask, within: &Reach<'_>, full: &[&'a Member]) -> Vec<(u32, &'a id::Upstream)> {
+    /// Returns the two members that hold most of a prompt's shared parts and can be copied from, the one that holds
+    /// more first.
+    fn sources<'a>(&'a self, ask: &Ask, reach: &Reach<'_>, full: &[&'a Member]) -> Vec<(u32, &'a id::Upstream)> {
         if !self.rules.copies {
             return Vec::new();
         }
-        let can = |member: &&Member| within.can_copy(member) && ask.allows(&member.zone);
-        let covers = |member: &'a Member| (member.cache.covers(ask.shared()), &member.id);
+        let can = |member: &&Member| reach.can_copy(member) && ask.allows(&member.zone);
+        let sources = |member: &'a Member| (member.cache.covers(ask.shared()), &member.id);
         let two = |all: &mut dyn Iterator<Item = &'a Member>| {
             let mut most: Vec<(u32, &'a id::Upstream)> = Vec::with_capacity(3);
-            for cover in all.filter(can).map(covers).filter(|(tokens, _)| *tokens >= COPY_LEAST) {
-                if most.len() < 2 || most[1] < cover {
-                    most.push(cover);
+            for source in all.filter(can).map(sources).filter(|(tokens, _)| *tokens >= MIN_COPY_TOKENS) {
+                if most.len() < 2 || most[1] < source {
+                    most.push(source);
                     most.sort_by(|a, b| b.cmp(a));
                     most.truncate(2);
                 }
             }
             most
         };
-        if !self.paths.are_well() {
-            // The best ones of all may lie where some can't copy from.
+        if !self.paths.are_all_open() {
+            // The best sources of all zones may lie in a zone from which some members can't copy.
             let some = self.partial_holders(ask);
-            self.count_looks(some.len());
+            self.count_scanned(some.len());
             let of = |zone| two(&mut some.iter().copied().filter(|member| &member.zone == zone));
             let mut most: Vec<_> = self.usable.zones().flat_map(of).collect();
             most.sort_by(|a, b| b.cmp(a));
             return most;
         }
-        // Nobody holds more than those that hold all.
+        // No member holds more than those that hold all shared parts.
         let most = two(&mut full.iter().copied());
         if most.len() == 2 {
             return most;
         }
         let some = self.partial_holders(ask);
-        self.count_looks(some.len());
+        self.count_scanned(some.len());
         two(&mut some.into_iter())
     }
 
-    /// Some members in the order in which any router would try them for a prompt.
+    /// Ranks some members in the order in which every router would try them for a prompt.
     fn order(&self, key: u64, members: &[&Member]) -> Order {
-        self.count_looks(members.len());
+        self.count_scanned(members.len());
         let serving = members.iter().filter(|member| member.admission == Admission::Any);
         let mut scores: Vec<_> = serving.map(|member| mix(key, member.hash)).collect();
-        if scores.len() > STEPS {
-            scores.select_nth_unstable_by(STEPS, |a, b| b.cmp(a));
-            scores.truncate(STEPS);
+        if scores.len() > RANK_STEPS {
+            scores.select_nth_unstable_by(RANK_STEPS, |a, b| b.cmp(a));
+            scores.truncate(RANK_STEPS);
         }
         scores.sort_unstable_by(|a, b| b.cmp(a));
-        Order { key, first: scores }
+        Order { key, top: scores }
     }
 
-    /// What serving a request at a member costs.
+    /// Computes the cost of serving a request at a member.
     #[allow(clippy::cast_precision_loss)]
     fn bid<'a>(
         &self,
         now: Moment,
         member: &'a Member,
         ask: &Ask,
-        covers: &[(u32, &'a id::Upstream)],
-        index: usize,
+        sources: &[(u32, &'a id::Upstream)],
+        rank: usize,
     ) -> Bid<'a> {
         let prompt: u32 = ask.parts.iter().map(|part| part.tokens).sum();
         let own = ask.parts.last().map_or(0, |part| part.tokens);
         let covered = member.cache.covers(&ask.parts);
-        let mut source = covers.iter().find(|(_, id)| *id != &member.id && self.can_pass(now, id, member));
+        let mut source = sources.iter().find(|(_, id)| *id != &member.id && self.can_copy_between(now, id, member));
         let mut copied = source.map_or(0, |(tokens, _)| tokens.saturating_sub(covered));
-        if copied < COPY_LEAST {
+        if copied < MIN_COPY_TOKENS {
             (source, copied) = (None, 0);
         }
         let read = (prompt - covered).saturating_sub(copied);
         let shared = f64::from(read.saturating_sub(own));
-        // One that was asked more isn't thought better for it: only what is slow is told apart.
+        // Only a slow pace counts, so that a member isn't preferred for having been given more requests.
         let pace = member.health.pace(now).max(1.0);
-        let crowd = f64::from(member.running()) * CROWD_MS;
+        let load_cost = f64::from(member.running()) * RUNNING_COST_MS;
         let (time, work) = if self.rules.engine.is_some() {
-            let copying = f64::from(copied) * COPY_TIME;
-            let time = self.reading.first(member.ahead() as f64 + f64::from(read) + copying);
-            (time, self.reading.time(shared * REREAD_WEIGHT + f64::from(copied) * COPY))
+            let copying = f64::from(copied) * COPY_TIME_RATIO;
+            let time = self.prefill.first(member.pending_prefill() as f64 + f64::from(read) + copying);
+            (time, self.prefill.time(shared * REPREFILL_COST_RATIO + f64::from(copied) * COPY_COST_RATIO))
         } else {
             let over = f64::from(member.running()) / f64::from(member.slots);
-            (self.time * (1.0 + over * over), 0.0)
+            (self.mean_time_ms * (1.0 + over * over), 0.0)
         };
-        let far = if member.zone == ask.zone { 0.0 } else { CROSS_ZONE_MS };
-        let step = index as f64 * RANK_STEP_MS;
-        // What may run twice shows whether an upstream that failed is well again.
-        let tries = ask.repeatable && member.health.is_due(now);
-        let failing = if tries { -TRIAL } else { member.health.doubt(now) * FAILING };
-        let due = time + crowd + far;
+        let far = if member.zone == ask.zone { 0.0 } else { CROSS_ZONE_COST_MS };
+        let step = rank as f64 * RANK_STEP_COST_MS;
+        // A repeatable request can show whether an upstream that failed has recovered.
+        let probes = ask.repeatable && member.health.is_due(now);
+        let failing = if probes { -PROBE_VALUE_MS } else { member.health.doubt(now) * FAILURE_COST_MS };
+        let typical_ms = time + load_cost + far;
         let time = time * pace;
-        let cost = lateness(time, ask.objective) + work + crowd * pace + far + step + failing;
-        let expected = time + crowd * pace + far;
-        Bid { cost, expected, due, upstream: &member.id, read, source: source.map(|(_, id)| *id) }
+        let cost = lateness(time, ask.objective) + work + load_cost * pace + far + step + failing;
+        let expected_ms = time + load_cost * pace + far;
+        Bid { cost, expected_ms, typical_ms, upstream: &member.id, read, source: source.map(|(_, id)| *id) }
     }
 }
 
-/// By what members are ranked for a prompt: the last part that others share.
+/// Returns the key by which members are ranked for a prompt: the name of its shared prefix.
 fn rank_key(parts: &[Part]) -> u64 {
     cache::name(if parts.len() > 1 { &parts[..parts.len() - 1] } else { parts })
 }
 
-/// What a time to the first event costs: little while the objective is far, much when it is near.
+/// Returns the cost of a time to the first event: low while it is far below the objective, high when it comes near it.
 fn lateness(time: f64, objective: Duration) -> f64 {
-    let ease = objective.as_secs_f64() * 1e3 * EASE;
-    time.min(ease) * SOONER + (time - ease).max(0.0) * LATER
+    let early_ms = objective.as_secs_f64() * 1e3 * EARLY_SHARE;
+    time.min(early_ms) * EARLY_COST + (time - early_ms).max(0.0) * LATE_COST
 }
--- a/crates/stairvale-dispatch/src/pool/holders.rs
+++ b/crates/stairvale-dispatch/src/pool/holders.rs
@@ -1,14 +1,15 @@
-//! Who holds a shared part, so that a decision needn't look at every engine.
+//! Index of the members that hold each shared part, so that a decision needn't scan every engine.
 //!
-//! An engine that holds all that a prompt shares with others is nearly always the best one, since any other has to copy or
-//! read what it lacks. If the best of these costs less than the least that any other can, the others needn't be looked at: the
-//! decision is the same, and takes as long with 3,000 engines as with the few that hold the prompt's beginning.
+//! An engine that holds all shared parts of a prompt is nearly always the best one, since any other has to copy or
+//! prefill what it lacks. If the best of these costs less than the lowest possible cost of any other, the others
+//! needn't be scanned: the decision is the same, and takes as long with 3,000 engines as with the few that hold the
+//! prompt's prefix.
 
 use rapidhash::RapidHashMap;
 use stairvale_placement::mix;
 use stairvale_types::id;
 
-use super::{Pool, ring::STRETCH};
+use super::{Pool, ring::SAMPLE_SIZE};
 use crate::{Ask, Member, Part};
 
 /// The members that hold each shared part.
@@ -18,20 +19,21 @@
 }
 
 impl Holders {
-    /// At most [`STRETCH`] of those that hold a part; which of more these are depends on a number.
+    /// Returns at most [`SAMPLE_SIZE`] of the members that hold a part; if more hold it, `number` determines the
+    /// selection.
     pub(super) fn some_of(&self, part: u64, number: u64) -> impl Iterator<Item = &id::Upstream> {
-        let all = self.of(part);
-        let first = if all.len() <= STRETCH { 0 } else { mix(part, number) % all.len() as u64 };
-        let (before, after) = all.split_at(usize::try_from(first).unwrap_or(0));
-        after.iter().chain(before).take(STRETCH)
+        let members = self.of(part);
+        let first = if members.len() <= SAMPLE_SIZE { 0 } else { mix(part, number) % members.len() as u64 };
+        let (before, after) = members.split_at(usize::try_from(first).unwrap_or(0));
+        after.iter().chain(before).take(SAMPLE_SIZE)
     }
 
-    /// Those that hold a part, in no order.
+    /// Returns the members that hold a part, in no particular order.
     pub(super) fn of(&self, part: u64) -> &[id::Upstream] {
         self.of.get(&part).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Takes over what has changed at a member since it was asked last.
+    /// Applies the changes of a member's cache since the last call for it.
     pub(super) fn follow(&mut self, member: &mut Member) {
         for (part, held) in member.cache.take_changes() {
             if held {
@@ -47,33 +49,34 @@
 }
 
 impl Pool {
-    /// What the members hold of shared parts, as far as is known here: also of those that are known to hold nothing, or whoever is
-    /// the home next would ask them.
+    /// Iterates over the members and the shared parts that each holds, as recorded here. Members with an empty cache
+    /// are included if that is recorded; otherwise the next home would query them.
     pub fn prefixes(&self) -> impl Iterator<Item = (&id::Upstream, Vec<Part>)> {
-        let all = self.members.values().map(|member| (member.known, &member.id, member.cache.shared()));
-        all.filter(|(known, _, parts)| *known || !parts.is_empty()).map(|(_, id, parts)| (id, parts))
+        let members = self.members.values().map(|member| (member.cache_known, &member.id, member.cache.shared()));
+        members.filter(|(known, _, parts)| *known || !parts.is_empty()).map(|(_, id, parts)| (id, parts))
     }
 
-    /// Another router that was the home, or the engine itself, says what it holds.
+    /// Applies the list of parts that a member holds, as sent by a router that was the home or by the engine itself.
     pub fn learn_prefixes(&mut self, upstream: &id::Upstream, parts: &[Part]) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.cache.learn(parts);
-            member.known = true;
+            member.cache_known = true;
             self.holders.follow(member);
         }
     }
 
-    /// Engines of which nobody has told what they hold, as far as they may be asked now. Each is named once.
+    /// Returns engines whose cache contents aren't recorded here, if `may_ask` permits a query now. Each engine is
+    /// returned once.
     pub fn unknown(&mut self, may_ask: impl Fn(&id::Upstream) -> bool) -> Vec<id::Upstream> {
-        let mut untold: Vec<_> = self.untold.extract_if(.., |engine| may_ask(engine)).collect();
-        untold.retain(|id| {
-            let unknown = self.members.get_mut(id).filter(|member| member.memory > 0 && !member.known);
-            unknown.map(|member| member.known = true).is_some()
+        let mut cache_unknown: Vec<_> = self.cache_unknown.extract_if(.., |engine| may_ask(engine)).collect();
+        cache_unknown.retain(|id| {
+            let unknown = self.members.get_mut(id).filter(|member| member.memory > 0 && !member.cache_known);
+            unknown.map(|member| member.cache_known = true).is_some()
         });
-        untold
+        cache_unknown
     }
 
-    /// The home granted a prompt elsewhere; this router may be the home next.
+    /// Records a prompt that the home granted to an upstream, since this router may become the home next.
     pub fn learn_read(&mut self, upstream: &id::Upstream, parts: &[Part]) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.cache.read(parts);
@@ -81,14 +84,14 @@
         }
     }
 
-    /// What an entry saw go to an upstream is believed to be there, if nothing is known of it here.
-    pub(super) fn learn(&mut self, ask: &Ask) {
+    /// Records the prefix that an entry router saw go to an upstream, if no serving member is recorded to hold it.
+    pub(super) fn learn_observed_prefix(&mut self, ask: &Ask) {
         let Some((depth, upstream)) = &ask.seen else {
             return;
         };
         let parts = &ask.parts[..(*depth).min(ask.parts.len())];
         let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
-        // Most often it is there, and nobody else need be looked at.
+        // Usually the upstream is recorded to hold it, and no other member need be scanned.
         let covers = |member: &Member| member.cache.covers(parts) >= tokens;
         let Some(last) = parts.last() else {
             return;
--- a/crates/stairvale-dispatch/src/pool/places.rs
+++ b/crates/stairvale-dispatch/src/pool/places.rs
@@ -1,7 +1,7 @@
-//! Where requests run.
+//! The upstream that runs each request.
 //!
-//! What an entry says, and what is due with time, is about requests that run. So both go through these alone: 8,000 upstreams
-//! that run nothing cost a renewal nothing.
+//! Renewals from entry routers and timeouts concern only requests that run. Both go through this index alone, so that
+//! 8,000 idle upstreams add nothing to the cost of a renewal.
 
 use std::time::Duration;
 
@@ -9,71 +9,71 @@
 use stairvale_types::{Moment, id};
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Placement {
     upstream: id::Upstream,
     entry: id::Router,
 }
 
-/// What one entry runs.
+/// The attempts of one entry router.
 #[derive(Debug)]
-struct Entry {
+struct EntryAttempts {
     attempts: RapidHashSet<id::Attempt>,
-    /// When it named them last, or began to run something.
-    heard: Moment,
+    /// When the entry router last renewed its attempts, or when its first one was added.
+    renewed: Moment,
 }
 
-/// The upstream of each attempt, and the attempts of each entry.
+/// The upstream of each attempt, and the attempts of each entry router.
 #[derive(Debug, Default)]
-pub(super) struct Places {
-    of: RapidHashMap<id::Attempt, Place>,
-    entries: RapidHashMap<id::Router, Entry>,
+pub(super) struct Placements {
+    of: RapidHashMap<id::Attempt, Placement>,
+    entries: RapidHashMap<id::Router, EntryAttempts>,
 }
 
-impl Places {
-    /// Attempts that run.
+impl Placements {
+    /// Returns the number of running attempts.
     pub(super) fn len(&self) -> usize {
         self.of.len()
     }
 
-    /// Where an attempt runs.
+    /// Returns the upstream that runs an attempt.
     pub(super) fn get(&self, attempt: id::Attempt) -> Option<&id::Upstream> {
-        self.of.get(&attempt).map(|place| &place.upstream)
+        self.of.get(&attempt).map(|placement| &placement.upstream)
     }
 
-    /// All that run, in no order.
+    /// Iterates over all running attempts, in no particular order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (id::Attempt, &id::Upstream)> {
-        self.of.iter().map(|(attempt, place)| (*attempt, &place.upstream))
+        self.of.iter().map(|(attempt, placement)| (*attempt, &placement.upstream))
     }
 
-    /// An entry names what it runs; gives what it ran until then, in no order.
-    pub(super) fn hear(&mut self, now: Moment, entry: &id::Router) -> Vec<id::Attempt> {
+    /// Records a renewal from an entry router; returns the attempts it ran until then, in no particular order.
+    pub(super) fn renew(&mut self, now: Moment, entry: &id::Router) -> Vec<id::Attempt> {
         let entry = self.entries.get_mut(entry);
         entry.map_or_else(Vec::new, |entry| {
-            entry.heard = now;
+            entry.renewed = now;
             entry.attempts.iter().copied().collect()
         })
     }
 
-    /// What those entries run that haven't named it for so long, in no order.
-    pub(super) fn unheard(&self, now: Moment, time: Duration) -> Vec<id::Attempt> {
-        let unheard = self.entries.values().filter(|entry| now.since(entry.heard) >= time);
-        unheard.flat_map(|entry| &entry.attempts).copied().collect()
+    /// Returns the attempts of entry routers that haven't renewed them for `time`, in no particular order.
+    pub(super) fn expired(&self, now: Moment, time: Duration) -> Vec<id::Attempt> {
+        let expired = self.entries.values().filter(|entry| now.since(entry.renewed) >= time);
+        expired.flat_map(|entry| &entry.attempts).copied().collect()
     }
 
-    /// An attempt of an entry runs from now on.
+    /// Adds an attempt of an entry router that runs at an upstream.
     pub(super) fn insert(&mut self, now: Moment, attempt: id::Attempt, upstream: id::Upstream, entry: id::Router) {
         self.remove(attempt);
-        let new = || Entry { attempts: RapidHashSet::default(), heard: now };
+        let new = || EntryAttempts { attempts: RapidHashSet::default(), renewed: now };
         self.entries.entry(entry.clone()).or_insert_with(new).attempts.insert(attempt);
-        self.of.insert(attempt, Place { upstream, entry });
+        self.of.insert(attempt, Placement { upstream, entry });
     }
 
-    /// An attempt no longer runs.
+    /// Removes an attempt that no longer runs.
     pub(super) fn remove(&mut self, attempt: id::Attempt) -> Option<id::Upstream> {
-        let Place { upstream, entry } = self.of.remove(&attempt)?;
-        if let Some(known) = self.entries.get_mut(&entry) {
-            known.attempts.remove(&attempt);
-            if known.attempts.is_empty() {
+        let Placement { upstream, entry } = self.of.remove(&attempt)?;
+        if let Some(attempts_of_entry) = self.entries.get_mut(&entry) {
+            attempts_of_entry.attempts.remove(&attempt);
+            if attempts_of_entry.attempts.is_empty() {
                 self.entries.remove(&entry);
             }
         }
--- a/crates/stairvale-dispatch/src/pool/quarantine.rs
+++ b/crates/stairvale-dispatch/src/pool/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that upstreams end under: how they are placed, and which are to go nowhere any more.
-//!
-//! A request that an upstream ended under is given only what can be spared: where the same request runs already, it joins that
-//! one, so that both end one upstream at most; where two upstreams ended under it, it goes where no other such request runs, so
-//! that the next end accuses one alone; and while it is being judged it isn't placed at all. What ends well is like any other
+//! Placement of requests under which upstreams crashed, and detection of those that must not be sent to any upstream
 //! again.
+//!
+//! A request under which an upstream crashed is kept away from further upstreams: where the same request runs already,
+//! it joins that one, so that both crash one upstream at most; where two upstreams crashed under it, it goes where no
+//! other such request runs, so that the next crash implicates it alone; and while it is being judged it isn't placed at
+//! all. A request that is served is treated like any other again.
 
 use std::collections::BTreeSet;
 
@@ -12,22 +13,22 @@
 use super::Pool;
 use crate::{Ask, Member, Outcome, Suspects, member::Hold, suspects::Evidence};
 
-/// Ends under a request from which on it is kept apart from others of this kind.
-const APART: usize = 2;
+/// Number of crashes under a request from which on it is kept apart from other suspects.
+const MIN_CRASHES_APART: usize = 2;
 
-/// Where a request may go by what is suspected of it.
-pub(super) enum Sphere {
-    /// Anywhere.
+/// The members that a request may go to, by the upstreams that crashed under it.
+pub(super) enum Scope {
+    /// The request may go to any member.
     Any,
-    /// Only where the same request runs already.
+    /// The request may go only to the member that runs the same request already.
     With(id::Upstream),
-    /// Anywhere but there.
+    /// The request may go to any member but these.
     Without(BTreeSet<id::Upstream>),
 }
 
-impl Sphere {
-    /// Whether a member is within it.
-    pub(super) fn has(&self, member: &Member) -> bool {
+impl Scope {
+    /// Whether the request may go to a member.
+    pub(super) fn contains(&self, member: &Member) -> bool {
         match self {
             Self::Any => true,
             Self::With(upstream) => *upstream == member.id,
@@ -37,37 +38,39 @@
 }
 
 impl Pool {
-    /// Requests that its upstreams ended under.
+    /// Returns the requests under which upstreams crashed.
     #[must_use]
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// What was learnt here of requests that upstreams end under, since this was asked last: for whoever may be home next.
+    /// Returns the evidence that was collected here since the last call; it is sent to the routers that may become home
+    /// next.
     pub fn take_evidence(&mut self) -> Vec<Evidence> {
         std::mem::take(&mut self.evidence)
     }
 
-    /// Requests that upstreams were found to end because of, since this was asked last.
+    /// Returns the requests that were found to crash upstreams since the last call.
     pub fn take_found(&mut self) -> Vec<id::Fingerprint> {
         std::mem::take(&mut self.found)
     }
 
-    /// Takes what another router learnt.
+    /// Applies evidence that another router collected.
     pub fn learn_evidence(&mut self, now: Moment, evidence: &Evidence) {
         self.suspects.learn(now, evidence);
     }
 
-    /// A request ended at an upstream.
-    pub(super) fn suspect(&mut self, now: Moment, place: &id::Upstream, hold: &Hold, outcome: Outcome) {
+    /// Derives evidence from the end of a request at an upstream.
+    pub(super) fn record_outcome(&mut self, now: Moment, upstream: &id::Upstream, hold: &Hold, outcome: Outcome) {
         let fingerprint = hold.fingerprint;
         let evidence = match outcome {
-            Outcome::Ended => Evidence::Ended { fingerprint, upstream: place.clone(), ran: now.since(hold.since) },
+            Outcome::Ended => Evidence::Ended { fingerprint, upstream: upstream.clone(), ran: now.since(hold.since) },
             Outcome::Served if !self.suspects.is_empty() => {
-                self.suspects.answered(now, place, hold.since);
+                self.suspects.answered(now, upstream, hold.since);
                 Evidence::Served { fingerprint }
             }
-            // An error says that the upstream lives, but not that the request ran as it does when it ends one.
+            // An error shows that the upstream still runs, but not that the request ran in the way in which it crashes
+            // upstreams.
             Outcome::Served
             | Outcome::Failed
             | Outcome::Shed
@@ -86,26 +89,26 @@
         self.found.extend(found);
     }
 
-    /// Where a request may go.
-    pub(super) fn sphere(&self, ask: &Ask) -> Sphere {
+    /// Returns the members that a request may go to.
+    pub(super) fn scope(&self, ask: &Ask) -> Scope {
         let ends = self.suspects.ends(ask.fingerprint);
         if ends == 0 {
-            return Sphere::Any;
+            return Scope::Any;
         }
-        let runs = |member: &&Member| {
-            let may = member.usable && !ask.avoid.contains(&member.id);
-            may && member.held().values().any(|hold| hold.fingerprint == ask.fingerprint)
+        let runs_same = |member: &&Member| {
+            let may_use = member.usable && !ask.avoid.contains(&member.id);
+            may_use && member.held().values().any(|hold| hold.fingerprint == ask.fingerprint)
         };
-        if let Some(member) = self.members.values().find(runs) {
-            return Sphere::With(member.id.clone());
+        if let Some(member) = self.members.values().find(runs_same) {
+            return Scope::With(member.id.clone());
         }
-        if ends < APART {
-            return Sphere::Any;
+        if ends < MIN_CRASHES_APART {
+            return Scope::Any;
         }
-        let suspected = |hold: &Hold| self.suspects.ends(hold.fingerprint) >= APART;
-        let taken = self.members.values().filter(|member| member.held().values().any(suspected));
-        let taken: BTreeSet<_> = taken.map(|member| member.id.clone()).collect();
-        // Where there are as many of them as upstreams, they can't be kept apart.
-        if taken.len() >= self.usable.all() { Sphere::Any } else { Sphere::Without(taken) }
+        let suspected = |hold: &Hold| self.suspects.ends(hold.fingerprint) >= MIN_CRASHES_APART;
+        let occupied = self.members.values().filter(|member| member.held().values().any(suspected));
+        let occupied: BTreeSet<_> = occupied.map(|member| member.id.clone()).collect();
+        // Where there are as many suspects as upstreams, they can't be kept apart.
+        if occupied.len() >= self.usable.all() { Scope::Any } else { Scope::Without(occupied) }
     }
 }
--- a/crates/stairvale-dispatch/src/pool/queue.rs
+++ b/crates/stairvale-dispatch/src/pool/queue.rs
@@ -1,8 +1,9 @@
-//! Requests that wait for a place, and who is told no.
+//! Queue of requests that wait for a slot, and refusal of those that can't be served in time.
 //!
-//! While a place is free and nothing waits, a request is given it, whosever it is. Where requests wait, a place goes first to
-//! customers within their shares, among these to the most urgent request, then to the customer that has least, then to what
-//! has waited longest. So a surge waits behind itself, and what can't be served in its patience is told so at once.
+//! While a slot is free and no request waits, a request is granted it, whichever customer sent it. While requests wait,
+//! a free slot goes first to customers within their shares, among these to the most urgent request, then to the
+//! customer that holds least, then to the request that has waited longest. So a burst of one customer waits behind that
+//! customer's own requests, and a request that can't be served within its maximum wait is refused at once.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,12 +15,12 @@
     shares::{Fade, Number, Queue, Standing},
 };
 
-/// The longest time that is told to come back after.
-const LONGEST_RETURN: Duration = Duration::from_secs(2);
-/// The shortest.
-const SHORTEST_RETURN: Duration = Duration::from_millis(100);
-/// When to come back where no upstream could serve it.
-const NO_UPSTREAM_RETURN: Duration = Duration::from_millis(500);
+/// The longest retry delay that a refusal states.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// The shortest retry delay that a refusal states.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The retry delay of a refusal because no upstream could serve the request.
+const NO_UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
@@ -30,134 +31,135 @@
     number: u64,
 }
 
-/// What turns depend on at a moment.
+/// The values that the order of the queue depends on at one moment.
 #[derive(Clone, Copy)]
-struct Look {
+struct QueueState {
     level: f64,
     fade: Fade,
 }
 
-/// When a request's turn is: what is less goes first, and of equal ones what came first.
+/// The position of a request in the queue: the lesser goes first, and of equal ones the one that came first.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct Position {
     is_over: bool,
     priority: u8,
     score: f64,
 }
 
-impl Turn {
-    /// The turn of a customer's request that `ahead` others of its own go before.
+impl Position {
+    /// Returns the position of a customer's request that follows `ahead` others of the same customer.
     fn of(standing: &Standing, ahead: u32, priority: u8) -> Self {
         let ahead = f64::from(ahead);
         Self { is_over: standing.is_over(ahead + 1.0), priority, score: standing.score + ahead * standing.step }
     }
 }
 
-/// How long something would wait.
+/// The predicted wait of a request.
 struct Wait {
     time: Duration,
-    /// Whether its turn comes after that of all that wait.
+    /// Whether the request comes after all others that wait.
     is_last: bool,
 }
 
 impl Pool {
-    /// Places a request that was asked for some time ago, or lets it wait for what is left of its patience.
-    pub(super) fn enter(&mut self, now: Moment, ask: Ask, asked: Moment) -> Vec<Answer> {
+    /// Grants a request that arrived at `asked`, refuses it, or queues it for the rest of its maximum wait.
+    pub(super) fn admit(&mut self, now: Moment, ask: Ask, asked: Moment) -> Vec<Answer> {
         if self.suspects.is_pending(ask.fingerprint) {
-            // Within a moment it is known whether it may go anywhere.
-            return vec![refuse(&ask, Reason::Busy, SHORTEST_RETURN)];
+            // A decision whether the request may go anywhere follows shortly.
+            return vec![refuse(&ask, Reason::Busy, MIN_RETRY_DELAY)];
         }
         if self.follow(now, &ask, asked) {
             return Vec::new();
         }
         if self.waiting.is_empty()
-            && let Some(answer) = self.place(now, &ask)
+            && let Some(answer) = self.try_grant(now, &ask)
         {
             return vec![answer];
         }
         let customer = self.shares.open(ask.customer.as_ref());
-        self.number += 1;
+        self.last_number += 1;
         let until = asked + ask.patience;
-        let waiting = Waiting { ask, customer, since: now, until, number: self.number };
+        let waiting = Waiting { ask, customer, since: now, until, number: self.last_number };
         let Some(wait) = self.predict(now, &waiting) else {
-            return vec![refuse(&waiting.ask, Reason::NoUpstream, NO_UPSTREAM_RETURN)];
+            return vec![refuse(&waiting.ask, Reason::NoUpstream, NO_UPSTREAM_RETRY_DELAY)];
         };
         if now + wait.time > until {
-            // What waits may not be able to use the places that are free.
-            return match self.place(now, &waiting.ask) {
+            // The requests that wait may not be able to use the slots that are free.
+            return match self.try_grant(now, &waiting.ask) {
                 Some(answer) => vec![answer],
                 None => vec![self.refuse(&waiting, wait.time)],
             };
         }
         self.shares.wait(customer, waiting.ask.priority);
         self.waiting.push(waiting);
-        let mut answers = self.serve(now);
+        let mut answers = self.grant_waiting(now);
         if !wait.is_last {
-            answers.extend(self.give_way(now, customer));
+            answers.extend(self.refuse_overtaken(now, customer));
         }
         answers
     }
 
-    /// Gives a request to an upstream, if any has room.
-    fn place(&mut self, now: Moment, ask: &Ask) -> Option<Answer> {
+    /// Grants the request if any upstream has room, and counts it for its customer.
+    fn try_grant(&mut self, now: Moment, ask: &Ask) -> Option<Answer> {
         let answer = self.grant(now, ask)?;
         self.shares.start(now, ask.attempt, ask.customer.as_ref());
         Some(answer)
     }
 
-    /// Grants what waits, as far as there is room.
-    pub(super) fn serve(&mut self, now: Moment) -> Vec<Answer> {
+    /// Grants waiting requests as far as there is room.
+    pub(super) fn grant_waiting(&mut self, now: Moment) -> Vec<Answer> {
         let mut answers = Vec::new();
         if self.waiting.is_empty() {
             return answers;
         }
-        let look = self.look(now);
-        let mut left_out = Vec::new();
-        while let Some(index) = self.first(look, &left_out) {
+        let state = self.queue_state(now);
+        let mut skipped = Vec::new();
+        while let Some(index) = self.next(state, &skipped) {
             let ask = self.waiting[index].ask.clone();
-            if let Some(answer) = self.place(now, &ask) {
-                self.take(index);
+            if let Some(answer) = self.try_grant(now, &ask) {
+                self.dequeue(index);
                 answers.push(answer);
             } else if ask.avoid.is_empty() && ask.within.is_none() && self.suspects.ends(ask.fingerprint) == 0 {
-                // One that comes later with the same choice would find no room either.
+                // A later request that may go to the same upstreams would find no room either.
                 break;
             } else {
-                left_out.push(self.waiting[index].number);
+                skipped.push(self.waiting[index].number);
             }
         }
         answers
     }
 
-    /// Refuses what has waited for as long as it may.
+    /// Refuses requests that have waited for their maximum wait.
     pub(super) fn end_waiting(&mut self, now: Moment) -> Vec<Answer> {
         let mut answers = Vec::new();
         while let Some(index) = self.waiting.iter().position(|waiting| waiting.until <= now) {
-            let waiting = self.take(index);
-            let wait = self.predict(now, &waiting).map_or(SHORTEST_RETURN, |wait| wait.time);
+            let waiting = self.dequeue(index);
+            let wait = self.predict(now, &waiting).map_or(MIN_RETRY_DELAY, |wait| wait.time);
             answers.push(self.refuse(&waiting, wait));
         }
         answers
     }
 
-    /// A request no longer waits.
+    /// Removes an attempt from the queue.
     pub(super) fn stop_waiting(&mut self, attempt: id::Attempt) {
         if let Some(index) = self.waiting.iter().position(|waiting| waiting.ask.attempt == attempt) {
-            self.take(index);
+            self.dequeue(index);
         }
     }
 
-    /// A customer's new request has gone before others: the last of another customer that is over its share is told no, if
-    /// it can no longer be served in its patience. Better now than when that ends.
-    fn give_way(&mut self, now: Moment, new: Number) -> Option<Answer> {
-        let look = self.look(now);
-        let last = self.shares.queues().map(|queue| (queue.number, self.turns(look, queue).last()));
-        let (customer, turn) = last.max_by(|a, b| order(a.1.as_ref(), b.1.as_ref()))?;
-        if customer == new || !turn?.is_over {
+    /// Called when a customer's new request has overtaken others: refuses the last request of another customer that is
+    /// over its share, if that request can no longer be served within its maximum wait. An early refusal is better than
+    /// one when the wait ends.
+    fn refuse_overtaken(&mut self, now: Moment, new: Number) -> Option<Answer> {
+        let state = self.queue_state(now);
+        let last = self.shares.queues().map(|queue| (queue.number, self.positions(state, queue).last()));
+        let (customer, position) = last.max_by(|a, b| compare(a.1.as_ref(), b.1.as_ref()))?;
+        if customer == new || !position?.is_over {
             return None;
         }
         let own = self.waiting.iter().enumerate().filter(|(_, waiting)| waiting.customer == customer);
         let last = own.max_by_key(|(_, waiting)| (waiting.ask.priority, waiting.number))?.0;
-        let waiting = self.take(last);
+        let waiting = self.dequeue(last);
         match self.predict(now, &waiting) {
             Some(wait) if now + wait.time > waiting.until => Some(self.refuse(&waiting, wait.time)),
             Some(_) | None => {
@@ -168,9 +170,9 @@
         }
     }
 
-    fn take(&mut self, index: usize) -> Waiting {
+    fn dequeue(&mut self, index: usize) -> Waiting {
         let waiting = self.waiting.remove(index);
-        self.shares.wait_no_more(waiting.customer, waiting.ask.priority);
+        self.shares.end_wait(waiting.customer, waiting.ask.priority);
         waiting
     }
 
@@ -182,86 +184,87 @@
     // ------------------------------------------------------------------------
     // Turns.
 
-    /// What each customer of a weight of one may hold while requests wait.
+    /// Returns the number of slots that each customer with a weight of one may hold while requests wait.
     pub(super) fn level(&self, now: Moment) -> f64 {
-        let within = self.reach(now);
-        let open = self.members.values().filter(|member| within.has(member) && member.health.is_open(now));
-        self.shares.level(open.map(|member| self.places(member)).sum())
+        let reach = self.reach(now);
+        let open = self.members.values().filter(|member| reach.may_use(member) && member.health.is_open(now));
+        self.shares.level(open.map(|member| self.request_limit(member)).sum())
     }
 
-    /// What turns depend on at a moment.
-    fn look(&self, now: Moment) -> Look {
-        Look { level: self.level(now), fade: self.shares.fade(now) }
+    /// Computes the values that the order of the queue depends on at this moment.
+    fn queue_state(&self, now: Moment) -> QueueState {
+        QueueState { level: self.level(now), fade: self.shares.fade(now) }
     }
 
-    /// The one whose turn it is.
-    fn first(&self, look: Look, left_out: &[u64]) -> Option<usize> {
-        let candidates = self.waiting.iter().enumerate().filter(|(_, waiting)| !left_out.contains(&waiting.number));
-        // Of a customer's own the most urgent comes first anyway, so that none need be counted.
-        let turn = |waiting: &Waiting| {
-            Turn::of(&self.shares.standing(look.fade, waiting.customer, look.level), 0, waiting.ask.priority)
+    /// Returns the index of the request that is next.
+    fn next(&self, state: QueueState, skipped: &[u64]) -> Option<usize> {
+        let candidates = self.waiting.iter().enumerate().filter(|(_, waiting)| !skipped.contains(&waiting.number));
+        // The most urgent request of a customer comes first anyway, so requests ahead of it needn't be counted.
+        let position = |waiting: &Waiting| {
+            Position::of(&self.shares.standing(state.fade, waiting.customer, state.level), 0, waiting.ask.priority)
         };
-        let turns = candidates.map(|(index, waiting)| (index, turn(waiting), waiting.number));
-        let first = turns.min_by(|a, b| order(Some(&a.1), Some(&b.1)).then(a.2.cmp(&b.2)));
+        let positions = candidates.map(|(index, waiting)| (index, position(waiting), waiting.number));
+        let first = positions.min_by(|a, b| compare(Some(&a.1), Some(&b.1)).then(a.2.cmp(&b.2)));
         first.map(|(index, ..)| index)
     }
 
-    /// The turns of all that a customer lets wait.
-    fn turns<'a>(&self, look: Look, queue: Queue<'a>) -> impl Iterator<Item = Turn> + use<'a> {
-        let standing = self.shares.standing(look.fade, queue.number, look.level);
+    /// Returns the positions of all waiting requests of a customer.
+    fn positions<'a>(&self, state: QueueState, queue: Queue<'a>) -> impl Iterator<Item = Position> + use<'a> {
+        let standing = self.shares.standing(state.fade, queue.number, state.level);
         let ranks = (0_u8..).zip(queue.waiting).flat_map(|(rank, count)| (0..*count).map(move |_| rank));
-        (0_u32..).zip(ranks).map(move |(ahead, rank)| Turn::of(&standing, ahead, rank))
+        (0_u32..).zip(ranks).map(move |(ahead, rank)| Position::of(&standing, ahead, rank))
     }
 
-    /// How long a request would wait for a place; `None` if there is no upstream that could ever serve it.
+    /// Predicts how long a request would wait for a slot; `None` if no upstream could ever serve it.
     #[allow(clippy::cast_precision_loss)]
     fn predict(&self, now: Moment, new: &Waiting) -> Option<Wait> {
-        let within = self.reach(now);
+        let reach = self.reach(now);
         let ask = &new.ask;
-        // Many upstreams may rest for one router, and all members are looked at.
+        // One router may have to avoid many upstreams, and all members are scanned.
         let avoid: BTreeSet<_> = ask.avoid.iter().collect();
-        let able = |member: &&Member| within.has(member) && ask.allows(&member.zone) && !avoid.contains(&member.id);
+        let able = |member: &&Member| reach.may_use(member) && ask.allows(&member.zone) && !avoid.contains(&member.id);
         let able: Vec<_> = self.members.values().filter(able).collect();
         if able.is_empty() {
             return None;
         }
         let open = able.iter().filter(|member| member.health.is_open(now));
-        let places: u32 = open.map(|member| self.places(member)).sum();
-        let look = self.look(now);
-        let standing = |number| self.shares.standing(look.fade, number, look.level);
+        let slots: u32 = open.map(|member| self.request_limit(member)).sum();
+        let state = self.queue_state(now);
+        let standing = |number| self.shares.standing(state.fade, number, state.level);
         let own_queue = self.shares.queues().find(|queue| queue.number == new.customer);
         let own = own_queue.map_or(0, |queue| queue.waiting.iter().take(usize::from(ask.priority) + 1).sum());
-        let turn = Turn::of(&standing(new.customer), own, ask.priority);
+        let position = Position::of(&standing(new.customer), own, ask.priority);
         let (mut ahead, mut all) = (own, 0);
         for queue in self.shares.queues() {
             all += queue.waiting.iter().sum::<u32>();
             if queue.number != new.customer {
-                let before = |other: &Turn| order(Some(other), Some(&turn)).is_le();
-                ahead += u32::try_from(self.turns(look, queue).filter(before).count()).unwrap_or(u32::MAX);
+                let before = |other: &Position| compare(Some(other), Some(&position)).is_le();
+                ahead += u32::try_from(self.positions(state, queue).filter(before).count()).unwrap_or(u32::MAX);
             }
         }
         let before = |other: &&Waiting| {
-            order(Some(&Turn::of(&standing(other.customer), 0, other.ask.priority)), Some(&turn)).is_le()
+            compare(Some(&Position::of(&standing(other.customer), 0, other.ask.priority)), Some(&position)).is_le()
         };
-        let held = self.waiting.iter().filter(before).map(|other| now.since(other.since)).max().unwrap_or_default();
+        let longest_wait =
+            self.waiting.iter().filter(before).map(|other| now.since(other.since)).max().unwrap_or_default();
         let share = standing(new.customer).share.max(1.0);
-        let turns = (f64::from(ahead + 1) / f64::from(places.max(1))).max(f64::from(own + 1) / share);
-        let time = Duration::from_secs_f64(turns * self.hold_time() / 1e3);
-        // Something that already waits long tells that places come free more slowly than the mean says.
-        Some(Wait { time: time.max(held / 2), is_last: ahead == all })
+        let positions = (f64::from(ahead + 1) / f64::from(slots.max(1))).max(f64::from(own + 1) / share);
+        let time = Duration::from_secs_f64(positions * self.hold_time_ms() / 1e3);
+        // A request that has already waited long shows that slots become free more slowly than the mean says.
+        Some(Wait { time: time.max(longest_wait / 2), is_last: ahead == all })
     }
 }
 
-/// Which turn is first; nothing comes before all.
-fn order(a: Option<&Turn>, b: Option<&Turn>) -> std::cmp::Ordering {
-    let keys = |turn: &Turn| (turn.is_over, turn.priority);
+/// Compares two positions; `None` comes before all.
+fn compare(a: Option<&Position>, b: Option<&Position>) -> std::cmp::Ordering {
+    let keys = |position: &Position| (position.is_over, position.priority);
     a.map(keys).cmp(&b.map(keys)).then_with(|| {
-        let score = |turn: Option<&Turn>| turn.map_or(0.0, |turn| turn.score);
+        let score = |position: Option<&Position>| position.map_or(0.0, |position| position.score);
         score(a).total_cmp(&score(b))
     })
 }
 
 fn refuse(ask: &Ask, reason: Reason, wait: Duration) -> Answer {
-    let refusal = Refusal::new(reason, wait.clamp(SHORTEST_RETURN, LONGEST_RETURN));
+    let refusal = Refusal::new(reason, wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY));
     Answer { entry: ask.entry.clone(), attempt: ask.attempt, verdict: Verdict::Refused(refusal) }
 }
--- a/crates/stairvale-dispatch/src/pool/transit.rs
+++ b/crates/stairvale-dispatch/src/pool/transit.rs
@@ -1,48 +1,51 @@
-//! Places whose request is on its way to the upstream, or whose answer is on its way back.
+//! Compensation for slots whose request is on its way to the upstream, or whose answer is on its way back.
 //!
-//! The home counts a place from the grant to the word that the request has ended. For part of that time the upstream doesn't
-//! run it yet, or no longer. Between availability zones and on small VMs that is a fourth of a short request's time, for
-//! which a place stands empty while others wait. So a plain upstream may be given as many more as are on their way in the
-//! mean. Engines have a bound of their own.
+//! The home counts a slot as taken from the grant until it is notified of the end of the request. For part of that time
+//! the upstream doesn't run the request yet, or no longer does. Between availability zones and on small VMs that is a
+//! quarter of a short request's time, during which a slot is idle while other requests wait. So a plain upstream may be
+//! given as many additional requests as are in transit on average. Engines have a bound of their own.
 
 use std::time::Duration;
 
-use super::{Pool, WEIGHT};
+use super::{MEAN_WEIGHT, Pool};
 use crate::Member;
 
-/// What may be on its way, as a share of what an upstream runs: more would be a queue at the upstream, where nobody can take
-/// a turn before another.
-const MOST: f64 = 0.5;
-/// The least time that a request is believed to take, in ms.
-const LEAST_TIME: f64 = 1.0;
+/// Maximum share of an upstream's slots that may be given additionally for requests in transit: more would form a queue
+/// at the upstream, where requests can't be reordered.
+const MAX_TRANSIT_SHARE: f64 = 0.5;
+/// Lower limit of the time that a request is assumed to take, in ms.
+const MIN_TIME_MS: f64 = 1.0;
 
 impl Pool {
-    /// Requests that an upstream may be given at once.
+    /// Returns the number of requests that an upstream may be given at once.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub(super) fn places(&self, member: &Member) -> u32 {
+    pub(super) fn request_limit(&self, member: &Member) -> u32 {
         if self.rules.engine.is_some() {
             return member.slots;
         }
-        // The way between the entry and the upstream isn't seen here: it is taken to be as long as that to the entry.
-        let away = self.transit * 2.0;
-        let share = (away / (self.time - self.transit).max(LEAST_TIME)).clamp(0.0, MOST);
+        // The time between the entry router and the upstream isn't visible here; it is assumed to equal the time
+        // between the home and the entry router.
+        let transit_ms = self.transit_ms * 2.0;
+        let share = (transit_ms / (self.mean_time_ms - self.transit_ms).max(MIN_TIME_MS)).clamp(0.0, MAX_TRANSIT_SHARE);
         member.slots + (f64::from(member.slots) * share) as u32
     }
 
-    /// How long a place is taken by one request, in ms.
-    pub(super) fn hold_time(&self) -> f64 {
-        self.time + self.transit
+    /// Returns the time for which one request takes a slot, in ms.
+    pub(super) fn hold_time_ms(&self) -> f64 {
+        self.mean_time_ms + self.transit_ms
     }
 
-    /// A place was held for a time, and its request's answer took a part of it.
-    pub(super) fn learn_transit(&mut self, held: Duration, took: Duration) {
-        let transit = held.saturating_sub(took).as_secs_f64() * 1e3;
-        // A word that came late says little of the others.
-        self.transit += (transit.min(self.time) - self.transit) * WEIGHT;
+    /// Updates the mean transit time from the time that a slot was held, and the part of it that the request's answer
+    /// took.
+    pub(super) fn record_transit(&mut self, held: Duration, took: Duration) {
+        let transit_ms = held.saturating_sub(took).as_secs_f64() * 1e3;
+        // A notification that was delayed for long says little of the others.
+        self.transit_ms += (transit_ms.min(self.mean_time_ms) - self.transit_ms) * MEAN_WEIGHT;
     }
 
-    /// An upstream said that it is full, though it runs no more than it may by what is known here.
-    pub(super) fn doubt_transit(&mut self) {
-        self.transit /= 2.0;
+    /// Halves the transit time after an upstream reported that it is full, although it runs no more requests than
+    /// permitted by the state here.
+    pub(super) fn halve_transit(&mut self) {
+        self.transit_ms /= 2.0;
     }
 }
--- a/crates/stairvale-dispatch/src/pool/usable.rs
+++ b/crates/stairvale-dispatch/src/pool/usable.rs
@@ -1,4 +1,5 @@
-//! How many members may be given new work, kept as they change: the bound of each decision follows from it.
+//! The number of members that accept new work, updated as members change. The load bound of each decision follows from
+//! it.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 
 use crate::Member;
 
-/// The counts, over all and in each availability zone.
+/// The number of usable members, in total and per availability zone.
 #[derive(Debug, Default)]
 pub(super) struct Usable {
     all: usize,
@@ -14,29 +15,29 @@
 }
 
 impl Usable {
-    /// Over all zones.
+    /// Returns the number over all zones.
     pub(super) fn all(&self) -> usize {
         self.all
     }
 
-    /// The zones that have members, or had some.
+    /// Iterates over the zones that have members, or had some.
     pub(super) fn zones(&self) -> impl Iterator<Item = &id::Zone> {
         self.zones.keys()
     }
 
-    /// In some zones.
-    pub(super) fn within(&self, mut is: impl FnMut(&id::Zone) -> bool) -> usize {
-        self.zones.iter().filter(|(zone, _)| is(zone)).map(|(_, count)| count).sum()
+    /// Returns the number in the zones that match a condition.
+    pub(super) fn in_zones(&self, mut matches: impl FnMut(&id::Zone) -> bool) -> usize {
+        self.zones.iter().filter(|(zone, _)| matches(zone)).map(|(_, count)| count).sum()
     }
 
-    /// Counts a member, if it may be given new work.
+    /// Counts a member if it is usable.
     pub(super) fn add(&mut self, member: &Member) {
         let count = usize::from(member.usable);
         self.all += count;
         *self.zones.entry(member.zone.clone()).or_default() += count;
     }
 
-    /// Counts a member no longer, before it changes or leaves.
+    /// Stops counting a member, before it changes or is removed.
     pub(super) fn remove(&mut self, member: &Member) {
         if member.usable {
             self.all -= 1;
--- a/crates/stairvale-dispatch/src/pool/watch.rs
+++ b/crates/stairvale-dispatch/src/pool/watch.rs
@@ -1,7 +1,9 @@
-//! What became of requests while a service moves to another version, for who judges it.
+//! Observations of requests while a service moves to another version, for the roll-out controller that judges the
+//! version.
 //!
-//! Both versions are judged by the same measure: what an answer should have taken follows from the pool's model of its engines
-//! and from what the old version's answers on the same route take. So a model that is wrong shows at both.
+//! Both versions are judged by the same measure: the expected time of an answer follows from the pool's model of its
+//! engines and from the times of the old version's answers on the same route. So an error of the model affects both
+//! versions alike.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,117 +14,119 @@
 use super::Pool;
 use crate::{Outcome, member::Hold};
 
-/// An answer that takes more than so many times what it should is slow. A queue or a neighbour's long prompt doubles the
-/// time now and then; what is several times as slow by itself takes more.
-const SLOW: f64 = 3.0;
-/// ... and more than this beside that, in ms: a lost packet that is sent again, or a router that stands still for a moment,
-/// takes as long.
-const MARGIN: f64 = 60.0;
-/// Observations that are kept until they are asked for, several hundred times what comes between two times; the oldest give
-/// way, as where nobody asks.
-const KEPT: usize = 8_192;
-/// What nobody asked for in this time is dropped: who becomes the home judges by what happens then.
-const STALE: Duration = Duration::from_secs(2);
-/// Answers on a route after which it is known what they usually take.
-const ENOUGH: u32 = 10;
-/// How much one answer counts in what is usual.
-const WEIGHT: f64 = 0.1;
-/// An answer that took more than so many times the mean counts as if it had taken that.
-const UNUSUAL: f64 = 3.0;
-/// The share of streams whose time for each token stays below what is taken for usual: prompts may make more tokens than
-/// most do.
-const MOST: f64 = 0.9;
-
-/// What a route's answers take at the version that serves.
+/// An answer that takes more than this multiple of its expected time is slow. A queue or another request's long prompt
+/// doubles the time now and then; a version that is several times as slow exceeds the multiple.
+const SLOW_RATIO: f64 = 3.0;
+/// An answer must also exceed the multiple by this to be slow, in ms: a retransmitted packet or a short pause of a
+/// router takes as long.
+const SLOW_MARGIN_MS: f64 = 60.0;
+/// Maximum number of observations that are kept until the next report, several hundred times as many as arrive between
+/// two reports. Beyond it the oldest are dropped, as they are where no report is requested.
+const MAX_OBSERVATIONS: usize = 8_192;
+/// Observations are dropped if no report was requested for this long, since a router that becomes the home judges by
+/// what happens from then on.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of answers on a route from which on their usual time is known.
+const MIN_USUAL_ANSWERS: u32 = 10;
+/// Weight of one answer in the usual time.
+const MEAN_WEIGHT: f64 = 0.1;
+/// An answer that took more than this multiple of the mean is counted as this multiple.
+const MAX_DEVIATION_RATIO: f64 = 3.0;
+/// Quantile of the streams' time per token that is taken as usual: prompts may produce more tokens than most do.
+const USUAL_QUANTILE: f64 = 0.9;
+
+/// The usual times of a route's answers at the version that serves.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usual {
     answers: u32,
     /// The mean time of a plain answer, in ms.
-    time: f64,
-    /// The time from a stream's first event to its end for each token that it may make, in ms, which most of them don't
-    /// exceed.
-    token: f64,
+    time_ms: f64,
+    /// The time from a stream's first event to its end per permitted output token, in ms, at the quantile
+    /// [`USUAL_QUANTILE`].
+    token_ms: f64,
 }
 
 impl Usual {
     fn answered(&mut self, took: f64) {
         if self.answers == 0 {
-            self.time = took;
+            self.time_ms = took;
         }
         self.answers = self.answers.saturating_add(1);
-        self.time += (took.min(self.time * UNUSUAL) - self.time) * WEIGHT;
+        self.time_ms += (took.min(self.time_ms * MAX_DEVIATION_RATIO) - self.time_ms) * MEAN_WEIGHT;
     }
 
     fn streamed(&mut self, took: f64, output: u32) {
         let token = took / f64::from(output.max(1));
         if self.answers == 0 {
-            self.token = token;
+            self.token_ms = token;
         }
         self.answers = self.answers.saturating_add(1);
-        let step = if token > self.token { MOST } else { MOST - 1.0 };
-        self.token *= 1.0 + step * WEIGHT;
+        let step = if token > self.token_ms { USUAL_QUANTILE } else { USUAL_QUANTILE - 1.0 };
+        self.token_ms *= 1.0 + step * MEAN_WEIGHT;
     }
 }
 
-/// What was seen since it was asked for last.
+/// The observations since the last report.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     requests: u64,
-    seen: VecDeque<Observation>,
-    /// Whether it was asked for since time passed last, and when that was so last.
-    asked: bool,
-    at: Moment,
+    observations: VecDeque<Observation>,
+    /// Whether a report was requested since the last tick.
+    requested: bool,
+    /// The last tick before which a report was requested, or when the observations were last dropped.
+    last_request: Moment,
     usual: RapidHashMap<id::Route, Usual>,
 }
 
 impl Watch {
-    /// A request was asked for.
+    /// Counts a request.
     pub(super) fn count(&mut self) {
         self.requests += 1;
     }
 
-    /// Begins anew: another version is ordered, or nobody asked for what was seen.
+    /// Drops all observations, because another version was ordered or no report was requested in time.
     pub(super) fn clear(&mut self, now: Moment) {
-        self.at = now;
+        self.last_request = now;
         self.requests = 0;
-        self.seen.clear();
+        self.observations.clear();
     }
 
-    /// Time passes.
-    fn pass(&mut self, now: Moment) {
-        if std::mem::take(&mut self.asked) {
-            self.at = now;
-        } else if now.since(self.at) >= STALE {
+    /// Handles the passage of time: drops observations that no report was requested for.
+    fn tick(&mut self, now: Moment) {
+        if std::mem::take(&mut self.requested) {
+            self.last_request = now;
+        } else if now.since(self.last_request) >= MAX_REPORT_INTERVAL {
             self.clear(now);
         }
     }
 
-    fn see(&mut self, (upstream, is_new): (&id::Upstream, bool), route: id::Route, answer: Answer) {
-        if self.seen.len() >= KEPT {
-            self.seen.pop_front();
+    fn observe(&mut self, (upstream, is_new): (&id::Upstream, bool), route: id::Route, answer: Answer) {
+        if self.observations.len() >= MAX_OBSERVATIONS {
+            self.observations.pop_front();
         }
-        self.seen.push_back(Observation { route, upstream: upstream.clone(), is_new, answer });
+        self.observations.push_back(Observation { route, upstream: upstream.clone(), is_new, answer });
     }
 
     fn usual(&self, route: id::Route) -> Option<&Usual> {
-        self.usual.get(&route).filter(|usual| usual.answers >= ENOUGH)
+        self.usual.get(&route).filter(|usual| usual.answers >= MIN_USUAL_ANSWERS)
     }
 
-    /// When a request that runs is slow, if nothing more comes until then: since when that counts, and for how long, in ms.
+    /// Returns when a running request becomes slow if no further event arrives: the start of the interval and its
+    /// length in ms.
     fn limit(&self, hold: &Hold, is_engine: bool) -> Option<(Moment, f64)> {
         let usual = self.usual(hold.route);
-        let (since, should) = match (is_engine, hold.begun) {
-            (false, _) => (hold.since, usual?.time),
-            (true, None) => (hold.since, hold.due),
-            (true, Some(begun)) => (begun, usual?.token * f64::from(hold.output)),
+        let (since, expected_ms) = match (is_engine, hold.first_event) {
+            (false, _) => (hold.since, usual?.time_ms),
+            (true, None) => (hold.since, hold.typical_ms),
+            (true, Some(begun)) => (begun, usual?.token_ms * f64::from(hold.output)),
         };
-        (should > 0.0).then_some((since, slow(should)))
+        (expected_ms > 0.0).then_some((since, slow_after(expected_ms)))
     }
 }
 
-/// The time in ms beyond which an answer is slow that should take so long.
-fn slow(should: f64) -> f64 {
-    should * SLOW + MARGIN
+/// Returns the time in ms beyond which an answer with this expected time is slow.
+fn slow_after(expected_ms: f64) -> f64 {
+    expected_ms * SLOW_RATIO + SLOW_MARGIN_MS
 }
 
 fn millis(span: Duration) -> f64 {
@@ -130,49 +134,55 @@
 }
 
 impl Pool {
-    /// What was seen since this was asked last, while a roll-out is under way.
+    /// Returns the observations since the last call, while a roll-out is under way.
     pub fn report(&mut self) -> Report {
-        self.watch.asked = true;
-        let seen = std::mem::take(&mut self.watch.seen);
-        Report { requests: std::mem::take(&mut self.watch.requests), observations: seen.into() }
+        self.watch.requested = true;
+        let observations = std::mem::take(&mut self.watch.observations);
+        Report { requests: std::mem::take(&mut self.watch.requests), observations: observations.into() }
     }
 
-    /// Whether what a request copies from was lost meanwhile: how long it takes then says nothing of where it runs.
+    /// Whether the engine that a request copies from was lost meanwhile: the time of the request then says nothing
+    /// about the engine that runs it.
     fn lost_source(&self, now: Moment, hold: &Hold) -> bool {
         let Some(source) = &hold.source else {
             return false;
         };
-        let within = self.reach(now);
-        self.members.get(source).is_none_or(|member| !within.can_copy(member))
+        let reach = self.reach(now);
+        self.members.get(source).is_none_or(|member| !reach.can_copy(member))
     }
 
-    /// A request's first event came after `took` ms; `hold` is what it was until then.
+    /// Records a request's first event, which came after `took` ms; `hold` is its state before that.
     pub(super) fn watch_begin(&mut self, now: Moment, attempt: id::Attempt, hold: &Hold, took: f64) {
-        if !self.versions.is_watched() || hold.told || hold.begun.is_some() || hold.due <= 0.0 || took <= slow(hold.due)
+        if !self.versions.is_watched()
+            || hold.reported_slow
+            || hold.first_event.is_some()
+            || hold.typical_ms <= 0.0
+            || took <= slow_after(hold.typical_ms)
         {
             return;
         }
         if self.rules.engine.is_some() && !self.lost_source(now, hold) {
-            self.tell(attempt);
+            self.report_slow(attempt);
         }
     }
 
-    /// Tells that a request which runs is slow.
-    fn tell(&mut self, attempt: id::Attempt) {
-        let member = self.places.get(attempt).and_then(|place| self.members.get_mut(place));
+    /// Records that a running request is slow.
+    fn report_slow(&mut self, attempt: id::Attempt) {
+        let member = self.placements.get(attempt).and_then(|upstream| self.members.get_mut(upstream));
         if let Some(member) = member
             && let Some(route) = member.held().get(&attempt).map(|hold| hold.route)
         {
-            member.tell(attempt);
-            self.watch.see((&member.id, member.is_new), route, Answer::Slow);
+            member.mark_reported_slow(attempt);
+            self.watch.observe((&member.id, member.is_new), route, Answer::Slow);
         }
     }
 
-    /// A request ended at an upstream, which may be a new one; `took` is the time of a plain answer.
+    /// Records the end of a request at an upstream, which may run the new version; `took` is the time of a plain
+    /// answer.
     pub(super) fn watch_end(
         &mut self,
         now: Moment,
-        (place, is_new): (&id::Upstream, bool),
+        (upstream, is_new): (&id::Upstream, bool),
         hold: &Hold,
         outcome: Outcome,
         took: Option<Duration>,
@@ -180,31 +190,32 @@
         let watched = self.versions.is_watched();
         let is_engine = self.rules.engine.is_some();
         let limit = self.watch.limit(hold, is_engine);
-        let late = |since: Moment, most: f64| millis(now.since(since)) > most;
+        let late = |since: Moment, limit_ms: f64| millis(now.since(since)) > limit_ms;
         let is_late = match (limit, is_engine, took) {
-            // What the entry measured holds no way of a message.
-            (Some((_, most)), false, Some(took)) => millis(took) > most,
-            (Some((since, most)), _, _) => late(since, most),
+            // The time that the entry router measured excludes the delay of its messages to the home.
+            (Some((_, limit_ms)), false, Some(took)) => millis(took) > limit_ms,
+            (Some((since, limit_ms)), _, _) => late(since, limit_ms),
             (None, _, _) => false,
         };
         let answer = match outcome {
             Outcome::Failed | Outcome::Silent | Outcome::Ended => Some(Answer::Failed),
-            // Where no word of the first event came, the end says nothing of when that was.
-            Outcome::Served if is_late && (!is_engine || hold.begun.is_some()) => Some(Answer::Slow),
+            // If the first event wasn't reported, the time of the end doesn't show when it came.
+            Outcome::Served if is_late && (!is_engine || hold.first_event.is_some()) => Some(Answer::Slow),
             Outcome::Served => Some(Answer::Good),
-            // Its caller left because nothing came.
-            Outcome::Abandoned if is_late && hold.begun.is_none() => Some(Answer::Slow),
+            // The client cancelled because no event came.
+            Outcome::Abandoned if is_late && hold.first_event.is_none() => Some(Answer::Slow),
             Outcome::Abandoned | Outcome::Unreachable | Outcome::Gone | Outcome::Shed => None,
         };
-        let answer =
-            answer.filter(|answer| watched && !hold.told && !(*answer == Answer::Slow && self.lost_source(now, hold)));
+        let answer = answer.filter(|answer| {
+            watched && !hold.reported_slow && !(*answer == Answer::Slow && self.lost_source(now, hold))
+        });
         if let Some(answer) = answer {
-            self.watch.see((place, is_new), hold.route, answer);
+            self.watch.observe((upstream, is_new), hold.route, answer);
         }
-        // What the new version takes isn't usual while it is judged.
+        // The times of the new version don't count as usual while it is judged.
         if outcome == Outcome::Served && !(watched && is_new) {
             let usual = self.watch.usual.entry(hold.route).or_default();
-            match (took, hold.begun) {
+            match (took, hold.first_event) {
                 (Some(took), _) if !is_engine => usual.answered(millis(took)),
                 (_, Some(begun)) if is_engine && hold.output > 0 => {
                     usual.streamed(millis(now.since(begun)), hold.output);
@@ -214,29 +225,31 @@
         }
     }
 
-    /// Tells which of those that run are slow already. Only what an entry says counts: that it still runs this one, late as
-    /// it is.
+    /// Records which running requests are already slow. Only an entry router's renewal counts, which shows that the
+    /// request was still running when it was late.
     pub(super) fn watch_running(&mut self, now: Moment) {
         if !self.versions.is_watched() {
             return;
         }
-        self.watch.pass(now);
+        self.watch.tick(now);
         let is_engine = self.rules.engine.is_some();
         let watch = &self.watch;
         let late = |hold: &Hold| {
-            let limit = watch.limit(hold, is_engine).filter(|_| !hold.told);
-            limit.is_some_and(|(since, most)| millis(hold.named.since(since)) > most)
+            let limit = watch.limit(hold, is_engine).filter(|_| !hold.reported_slow);
+            limit.is_some_and(|(since, limit_ms)| millis(hold.renewed.since(since)) > limit_ms)
+        };
+        let is_late = |attempt, upstream| {
+            self.members.get(upstream).and_then(|member| member.held().get(&attempt)).is_some_and(late)
         };
-        let is_late =
-            |attempt, place| self.members.get(place).and_then(|member| member.held().get(&attempt)).is_some_and(late);
-        let running = self.places.iter();
+        let running = self.placements.iter();
         let mut late: Vec<_> =
-            running.filter(|(attempt, place)| is_late(*attempt, *place)).map(|(attempt, _)| attempt).collect();
+            running.filter(|(attempt, upstream)| is_late(*attempt, *upstream)).map(|(attempt, _)| attempt).collect();
         late.sort_unstable();
         for attempt in late {
-            let hold = self.places.get(attempt).and_then(|place| self.members.get(place)?.held().get(&attempt));
+            let hold =
+                self.placements.get(attempt).and_then(|upstream| self.members.get(upstream)?.held().get(&attempt));
             if hold.is_some_and(|hold| !self.lost_source(now, hold)) {
-                self.tell(attempt);
+                self.report_slow(attempt);
             }
         }
     }
--- a/crates/stairvale-dispatch/src/reading.rs
+++ b/crates/stairvale-dispatch/src/reading.rs
@@ -13,7 +13,7 @@
 /// The least time that reading a token is taken to need, in ms.
 const LEAST: f64 = 1e-3;
 /// How much one answer counts in a mean.
-const WEIGHT: f64 = 0.1;
+const MEAN_WEIGHT: f64 = 0.1;
 
 /// A line through what was seen: a base, and a time for each token.
 #[derive(Clone, Copy, Debug)]
@@ -48,10 +48,10 @@
         if tokens < LITTLE {
             let base = (took - self.time(tokens)).max(0.0);
             // What held it up for much longer says nothing of the usual.
-            self.base += (base.min(self.base * UNUSUAL) - self.base) * WEIGHT;
+            self.base += (base.min(self.base * UNUSUAL) - self.base) * MEAN_WEIGHT;
         } else if tokens >= MUCH {
             let each = (took - self.base).max(0.0) / tokens;
-            self.each += (each.clamp(LEAST, self.each * UNUSUAL) - self.each) * WEIGHT;
+            self.each += (each.clamp(LEAST, self.each * UNUSUAL) - self.each) * MEAN_WEIGHT;
         }
     }
 }
--- a/crates/stairvale-dispatch/src/seen.rs
+++ b/crates/stairvale-dispatch/src/seen.rs
@@ -1,4 +1,5 @@
-//! Where an entry last saw shared parts of prompts go: what a home that takes over needs to know.
+//! A memory of the upstreams to which an entry router recently sent shared prefixes. A router that takes over as home
+//! learns them from it.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,43 +7,43 @@
 
 use crate::{Part, cache};
 
-/// Chains of parts that are remembered.
-const CAPACITY: usize = 2_048;
+/// Maximum number of prefixes that are remembered.
+const MAX_PREFIXES: usize = 2_048;
 
-/// A bounded memory of chains of parts.
+/// A bounded map from shared prefixes to upstreams.
 #[derive(Debug, Default)]
 pub struct Seen {
-    places: HashMap<u64, id::Upstream>,
+    upstreams: HashMap<u64, id::Upstream>,
     order: VecDeque<u64>,
 }
 
-/// The parts that others may share: all but the last.
+/// Returns the parts that other prompts may share: all but the last.
 fn shared(parts: &[Part]) -> &[Part] {
     &parts[..parts.len().saturating_sub(1)]
 }
 
 impl Seen {
-    /// A prompt went to an upstream.
+    /// Records that a prompt was sent to an upstream.
     pub fn remember(&mut self, parts: &[Part], upstream: &id::Upstream) {
         for depth in 1..=shared(parts).len() {
             let name = cache::name(&parts[..depth]);
-            if self.places.insert(name, upstream.clone()).is_none() {
+            if self.upstreams.insert(name, upstream.clone()).is_none() {
                 self.order.push_back(name);
             }
         }
-        while self.order.len() > CAPACITY {
+        while self.order.len() > MAX_PREFIXES {
             if let Some(oldest) = self.order.pop_front() {
-                self.places.remove(&oldest);
+                self.upstreams.remove(&oldest);
             }
         }
     }
 
-    /// The longest chain of a prompt's shared parts that was seen, and where it went.
+    /// Returns the number of parts of a prompt's longest remembered prefix, and the upstream that it was sent to.
     #[must_use]
     pub fn find(&self, parts: &[Part]) -> Option<(usize, id::Upstream)> {
         (1..=shared(parts).len()).rev().find_map(|depth| {
-            let place = self.places.get(&cache::name(&parts[..depth]))?;
-            Some((depth, place.clone()))
+            let upstream = self.upstreams.get(&cache::name(&parts[..depth]))?;
+            Some((depth, upstream.clone()))
         })
     }
 }
--- a/crates/stairvale-dispatch/src/shares.rs
+++ b/crates/stairvale-dispatch/src/shares.rs
@@ -361,7 +361,7 @@
     }
 
     /// A request that waited does so no longer.
-    pub fn wait_no_more(&mut self, number: Number, priority: u8) {
+    pub fn end_wait(&mut self, number: Number, priority: u8) {
         self.change(number, |account| {
             let waiting = &mut account.waiting[rank(priority)];
             *waiting = waiting.saturating_sub(1);
