--- a/crates/stairvale-dispatch/benches/pool.rs
+++ b/crates/stairvale-dispatch/benches/pool.rs
@@ -1,4 +1,4 @@
-//! What one decision of a service's home costs, by the number of its engines.
+//! Benchmarks of one decision of a service's home, by the number of the service's engines.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -16,10 +16,10 @@
     divan::main();
 }
 
-/// Engines of a service.
+/// Numbers of engines of the service.
 const ENGINES: [usize; 6] = [30, 90, 300, 1_000, 3_000, 9_600];
-/// Prompts' shared beginnings that are in use: each is held by some engines.
-const BEGINNINGS: u64 = 600;
+/// Number of shared prefixes in use; each is held by some engines.
+const PREFIXES: u64 = 600;
 
 fn listing(index: usize) -> Listing {
     Listing {
@@ -34,7 +34,7 @@
 }
 
 fn ask(number: u64) -> Ask {
-    let beginning = number.wrapping_mul(7_919) % BEGINNINGS;
+    let prefix = number.wrapping_mul(7_919) % PREFIXES;
     Ask {
         attempt: id::Attempt(u128::from(number)),
         entry: "r1".parse().unwrap(),
@@ -45,8 +45,8 @@
         priority: 1,
         repeatable: true,
         parts: vec![
-            Part { id: beginning % 4 + 1, tokens: 2_500 },
-            Part { id: 1_000 + beginning, tokens: 6_000 },
+            Part { id: prefix % 4 + 1, tokens: 2_500 },
+            Part { id: 1_000 + prefix, tokens: 6_000 },
             Part { id: 1_000_000 + number, tokens: 500 },
         ],
         output: 100,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A pool in use: engines hold beginnings, and run some five requests each.
+/// Creates a pool in use: engines hold prefixes, and run some five requests each.
 fn pool(engines: usize) -> (Pool, u64, u64) {
     let cold = Cold { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
     let engine = Some(unit::Tokens(237_549));
@@ -74,7 +74,7 @@
     (pool, now, number)
 }
 
-/// One request is placed and begins; the one before `running` others ends.
+/// Places one request and records its first event, and ends the request that was placed `running` requests before.
 fn step(pool: &mut Pool, now: u64, number: u64, running: u64) {
     let now = Moment(now);
     black_box(pool.ask(now, ask(number)));
@@ -94,7 +94,7 @@
     });
 }
 
-/// The same for prompts that share nothing with those before.
+/// A request whose prompt shares nothing with those before.
 #[divan::bench(args = ENGINES, sample_count = 10, sample_size = 100)]
 fn request_of_a_new_prompt(bencher: Bencher, engines: usize) {
     let (mut pool, mut now, mut number) = pool(engines);
@@ -111,7 +111,7 @@
     });
 }
 
-/// An entry names the one request that it runs.
+/// An entry router renews the one request that it runs.
 #[divan::bench(args = ENGINES, sample_count = 10, sample_size = 100)]
 fn renewal(bencher: Bencher, engines: usize) {
     let (mut pool, now, number) = pool(engines);
@@ -124,13 +124,14 @@
     bencher.bench_local(|| black_box(pool.renew(Moment(now), &entry, &held)));
 }
 
-/// The same while a version is on trial that as many engines have beside these, a thirtieth of which are given a part.
+/// A request while a version is on trial, which as many engines run in addition; a thirtieth of them are selected for
+/// the trial.
 #[divan::bench(args = ENGINES, sample_count = 10, sample_size = 200)]
 fn request_on_trial(bencher: Bencher, engines: usize) {
     with_policy(bencher, engines, Stage::Trial);
 }
 
-/// The same just after the fleet began to move to that version.
+/// A request just after the fleet began to move to the new version.
 #[divan::bench(args = ENGINES, sample_count = 10, sample_size = 200)]
 fn request_while_moving(bencher: Bencher, engines: usize) {
     with_policy(bencher, engines, Stage::Moving);
@@ -179,45 +180,45 @@
     bencher.bench_local(|| black_box(pool.tick(Moment(now))));
 }
 
-/// Customers of a plain service of seven upstreams with six places each.
+/// Numbers of customers of a plain service with seven upstreams of six slots each.
 const CUSTOMERS: [u64; 3] = [1, 24, 10_000];
 
-/// One request of a customer comes, and the oldest one ends: `running` of them run or wait.
-fn turn(pool: &mut Pool, now: u64, number: u64, customers: u64, running: u64) {
+/// Places one request of a customer and ends the oldest one, so that `running` requests run or wait.
+fn customer_request(pool: &mut Pool, now: u64, number: u64, customers: u64, running: u64) {
     let now = Moment(now);
     let customer = Some(format!("c{}", number.wrapping_mul(7_919) % customers).parse().unwrap());
     let patience = Duration::from_millis(60);
     black_box(pool.ask(now, Ask { customer, patience, parts: Vec::new(), ..ask(number) }));
     if number > running {
-        // As long as the place was held, or longer: nothing was on its way.
+        // As long as the slot was held, or longer, so that the time in transit is zero.
         let took = Some(Duration::from_millis(80));
         black_box(pool.release(now, id::Attempt(u128::from(number - running)), Outcome::Served, took));
     }
 }
 
-fn plain() -> Pool {
+fn plain_pool() -> Pool {
     let mut pool = Pool::new(Rules::default());
     let known: Vec<_> = (0..7).map(|index| Listing { slots: 6, ..listing(index) }).collect();
     pool.set_members(Moment::ZERO, &known);
     pool
 }
 
-/// With places to spare.
+/// A customer's request while slots are free.
 #[divan::bench(args = CUSTOMERS, sample_count = 20, sample_size = 500)]
 fn customer_with_room(bencher: Bencher, customers: u64) {
-    let (mut pool, mut number) = (plain(), 0);
+    let (mut pool, mut number) = (plain_pool(), 0);
     bencher.bench_local(|| {
         number += 1;
-        turn(&mut pool, number * 2_000, number, customers, 30);
+        customer_request(&mut pool, number * 2_000, number, customers, 30);
     });
 }
 
-/// With some ten that wait.
+/// A customer's request while some ten requests wait.
 #[divan::bench(args = CUSTOMERS, sample_count = 20, sample_size = 500)]
 fn customer_that_waits(bencher: Bencher, customers: u64) {
-    let (mut pool, mut number) = (plain(), 0);
+    let (mut pool, mut number) = (plain_pool(), 0);
     bencher.bench_local(|| {
         number += 1;
-        turn(&mut pool, number * 1_400, number, customers, 52);
+        customer_request(&mut pool, number * 1_400, number, customers, 52);
     });
 }
--- a/crates/stairvale-dispatch/src/ask.rs
+++ b/crates/stairvale-dispatch/src/ask.rs
@@ -1,136 +1,138 @@
-//! What entries and homes say to each other of a request.
+//! Messages about requests between entry routers and homes.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use stairvale_types::{Refusal, id};
 
-/// A part of a prompt. Prompts share parts from their beginning on; the same part always stands behind the same ones.
+/// A part of a prompt. Prompts share parts from their start on; equal parts always follow equal parts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The same for the same text.
+    /// The identifier of the part, which is the same for the same text.
     pub id: u64,
-    /// Its size.
+    /// The size of the part in tokens.
     pub tokens: u32,
 }
 
-/// "Which upstream may this request go to?"
+/// A request to the home for an upstream that may serve a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The attempt, which no other ask shares.
+    /// The attempt, which is unique to this message.
     pub attempt: id::Attempt,
-    /// The router that asks.
+    /// The entry router that sent the message.
     pub entry: id::Router,
-    /// Its availability zone.
+    /// The availability zone of the entry router.
     pub zone: id::Zone,
-    /// Whose request it is, where that is known.
+    /// The customer that sent the request, if known.
     pub customer: Option<id::Customer>,
-    /// Its route.
+    /// The route of the request.
     pub route: id::Route,
-    /// What it asks for.
+    /// The fingerprint that identifies the content of the request.
     pub fingerprint: id::Fingerprint,
-    /// The request's rank: 0 is the most urgent.
+    /// The priority of the request: 0 is the most urgent.
     pub priority: u8,
-    /// Whether it may run a second time.
+    /// Whether the request may run a second time.
     pub repeatable: bool,
-    /// The parts of its prompt, in order; empty for a plain service.
+    /// The parts of the prompt, in order; empty for a plain service.
     pub parts: Vec<Part>,
-    /// Tokens that it may make.
+    /// Maximum number of output tokens.
     pub output: u32,
-    /// The time to the first event, or to a plain answer, that is aimed at.
+    /// The target for the time to the first event, or to a plain answer.
     pub objective: Duration,
-    /// How long it may wait for a place.
+    /// How long the request may wait for a slot.
     pub patience: Duration,
-    /// Upstreams that failed or refused this request, or that the entry can't reach.
+    /// Upstreams that failed or refused this request, or that the entry router can't reach.
     pub avoid: Vec<id::Upstream>,
-    /// The only zones whose upstreams it may go to; `None` for any.
+    /// The zones to whose upstreams the request is restricted; `None` for any.
     pub within: Option<Vec<id::Zone>>,
-    /// How many of the parts the entry last saw read together, and where; a home that took over learns from it.
+    /// The number of leading parts that the entry router last sent together, and the upstream they went to; a new home
+    /// learns from it.
     pub seen: Option<(usize, id::Upstream)>,
 }
 
 impl Ask {
-    /// How long it may wait for another request to read what both share: half of its objective, so that there is time to
-    /// be served elsewhere if that comes to nothing.
+    /// Returns how long the request may wait for another request to prefill shared parts: half of the objective, so
+    /// that there is time to be served elsewhere if the other request fails.
     #[must_use]
     pub fn follows(&self) -> Duration {
         self.objective / 2
     }
 
-    /// Whether it may go to the upstreams of a zone, or be served with what they hold.
+    /// Whether the request may go to the upstreams of a zone, or be served with parts copied from them.
     #[must_use]
     pub fn allows(&self, zone: &id::Zone) -> bool {
         self.within.as_ref().is_none_or(|within| within.contains(zone))
     }
 
-    /// The parts of its prompt that other prompts may have, too.
+    /// Returns the parts of the prompt that other prompts may share: all but the last.
     #[must_use]
     pub fn shared(&self) -> &[Part] {
         &self.parts[..self.parts.len().saturating_sub(1)]
     }
 }
 
-/// What the home decided.
+/// The decision of the home.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The request may go there.
+    /// The request may go to the upstream.
     Granted {
-        /// The upstream.
+        /// The upstream that serves the request.
         upstream: id::Upstream,
-        /// Tokens of its prompt that the upstream will have to read.
+        /// Tokens of the prompt that the upstream has to prefill.
         read: u32,
-        /// Another upstream that holds more of the prompt's shared parts, if that is worth copying.
+        /// Another upstream that holds more of the prompt's shared parts, if they are worth copying from it.
         source: Option<id::Upstream>,
     },
-    /// It may go nowhere now.
+    /// The request may go to no upstream now.
     Refused(Refusal),
 }
 
-/// A decision for an entry.
+/// A decision that is sent to an entry router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// The entry.
+    /// The entry router that receives the decision.
     pub entry: id::Router,
-    /// The attempt.
+    /// The attempt that was decided.
     pub attempt: id::Attempt,
     /// The decision.
     pub verdict: Verdict,
 }
 
-/// What became of a granted request, as far as it says something of the upstream.
+/// The outcome of a granted request, as far as it concerns the upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The upstream answered as it should.
+    /// The upstream answered correctly.
     Served,
-    /// It answered with an error, broke off or answered something else.
+    /// The upstream answered with an error, broke off its answer, or sent an invalid one.
     Failed,
-    /// It was full and said that it didn't run the request.
+    /// The upstream was full, and answered that it didn't run the request.
     Shed,
-    /// Nothing came in time.
+    /// The upstream sent no answer in time.
     Silent,
-    /// No connection could be made.
+    /// No connection to the upstream could be made.
     Unreachable,
     /// The address belongs to another upstream by now.
     Gone,
-    /// The upstream ended while it ran: it broke off, and nobody listens there any more.
+    /// The upstream crashed while it ran the request: the connection broke, and nothing listens at the address any
+    /// more.
     Ended,
-    /// The entry stopped it for reasons of its own.
+    /// The entry router stopped the request for a reason that doesn't concern the upstream.
     Abandoned,
 }
 
-/// A granted request that an entry still runs.
+/// A granted request that an entry router still runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
     /// The attempt.
     pub attempt: id::Attempt,
-    /// Where it runs.
+    /// The upstream that runs the attempt.
     pub upstream: id::Upstream,
-    /// Tokens that the upstream still has to read; zero after the first event.
+    /// Tokens that the upstream still has to prefill; zero after the first event.
     pub read: u32,
-    /// Whose request it is, where that is known.
+    /// The customer that sent the request, if known.
     pub customer: Option<id::Customer>,
-    /// Its route.
+    /// The route of the request.
     pub route: id::Route,
-    /// What it asks for.
+    /// The fingerprint that identifies the content of the request.
     pub fingerprint: id::Fingerprint,
 }
--- a/crates/stairvale-dispatch/src/budget.rs
+++ b/crates/stairvale-dispatch/src/budget.rs
@@ -1,21 +1,21 @@
-//! An entry's share of the retry budget of a service.
+//! An entry router's share of the retry budget of a service.
 
 use std::{collections::VecDeque, time::Duration};
 
 use stairvale_types::Moment;
 
-/// What the whole fleet may send beyond the first try of each request.
+/// The requests that the whole fleet may send beyond the first attempt of each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries that are free in each window, for all routers together.
+    /// Retries that are allowed in each window regardless of the number of requests, for all routers together.
     pub free: f64,
-    /// The window's length.
+    /// The length of the window.
     pub window: Duration,
 }
 
-/// Steps that a window is counted in.
+/// Number of steps into which a window is divided.
 const STEPS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,22 +25,22 @@
     retries: u32,
 }
 
-/// Requests and retries of one service at one entry, over the last window.
+/// Requests and retries of one service at one entry router, over the last window.
 ///
-/// Each entry earns by its own requests and takes an equal part of what is free, so the fleet keeps its budget without
-/// a word between routers.
+/// Each entry router is allowed retries in proportion to its own requests, and an equal part of the free ones. So the
+/// fleet keeps its budget without messages between routers.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     steps: VecDeque<Step>,
 }
 
 impl Window {
-    /// A request came in.
+    /// Records that a request arrived.
     pub fn request(&mut self, now: Moment, budget: Budget) {
         self.step(now, budget).requests += 1;
     }
 
-    /// Takes one retry, if there is one; `routers` share what is free.
+    /// Takes one retry if the budget allows it; `routers` share the free retries.
     #[must_use]
     #[allow(clippy::cast_precision_loss)]
     pub fn spend(&mut self, now: Moment, budget: Budget, routers: usize) -> bool {
--- a/crates/stairvale-dispatch/src/cache.rs
+++ b/crates/stairvale-dispatch/src/cache.rs
@@ -1,4 +1,4 @@
-//! What the home believes an engine holds of prompts: the parts least lately used give way, as they do at the engine.
+//! The home's model of an engine's prefix cache: as at the engine, the least recently used parts are evicted.
 
 use std::collections::BTreeMap;
 
@@ -8,168 +8,170 @@
 use crate::Part;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
-    used: u64,
-    /// Whether other prompts may have it, too.
+    last_used: u64,
+    /// Whether other prompts may contain the part.
     shared: bool,
-    /// The attempt that is still reading it.
+    /// The attempt that is still prefilling the part.
     reader: Option<id::Attempt>,
 }
 
-/// A model of one engine's prefix cache. A part has its id from all that stands before it, so its id alone tells it.
+/// A model of one engine's prefix cache. The id of a part depends on all parts before it, so the id alone identifies
+/// it.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     capacity: u64,
-    held: u64,
+    size: u64,
     clock: u64,
-    kept: RapidHashMap<u64, Kept>,
-    order: BTreeMap<u64, u64>,
-    /// Shared parts that are held, or no longer are, since that was asked for last, in order.
+    cached: RapidHashMap<u64, CachedPart>,
+    by_last_use: BTreeMap<u64, u64>,
+    /// The shared parts that were added or removed since the last call of `take_changes`, in order; `true` for those
+    /// that were added.
     changes: Vec<(u64, bool)>,
 }
 
-/// A name for a chain of parts.
+/// Returns a hash that identifies a sequence of parts.
 #[must_use]
-pub fn name(parts: &[Part]) -> u64 {
+pub fn prefix_hash(parts: &[Part]) -> u64 {
     let add =
         |before: u64, part: &Part| rapidhash::v3::rapidhash_v3(&[before.to_le_bytes(), part.id.to_le_bytes()].concat());
     parts.iter().fold(0, add)
 }
 
 impl Cache {
-    /// An empty cache for so many tokens.
+    /// Creates an empty cache with a capacity in tokens.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self { capacity, ..Self::default() }
     }
 
-    /// Tokens of a prompt, from its beginning, that needn't be read again.
+    /// Returns the number of tokens of a prompt, from its start, that needn't be prefilled again.
     #[must_use]
     pub fn covers(&self, parts: &[Part]) -> u32 {
-        parts.iter().take_while(|part| self.kept.contains_key(&part.id)).map(|part| part.tokens).sum()
+        parts.iter().take_while(|part| self.cached.contains_key(&part.id)).map(|part| part.tokens).sum()
     }
 
-    /// Of these, tokens from the beginning that nobody is still reading.
+    /// Returns the number of tokens of a prompt, from its start, that are cached and whose prefill has finished.
     #[must_use]
     pub fn ready(&self, parts: &[Part]) -> u32 {
-        let ready = |part: &&Part| self.kept.get(&part.id).is_some_and(|kept| kept.reader.is_none());
+        let ready = |part: &&Part| self.cached.get(&part.id).is_some_and(|cached| cached.reader.is_none());
         parts.iter().take_while(ready).map(|part| part.tokens).sum()
     }
 
-    /// Who reads the first of a prompt's parts that is still being read.
+    /// Returns the attempt that is prefilling the first part of the prompt whose prefill hasn't finished.
     #[must_use]
     pub fn reader(&self, parts: &[Part]) -> Option<id::Attempt> {
-        let mut kept = parts.iter().map_while(|part| self.kept.get(&part.id));
-        kept.find_map(|kept| kept.reader)
+        let mut cached = parts.iter().map_while(|part| self.cached.get(&part.id));
+        cached.find_map(|cached| cached.reader)
     }
 
-    /// The engine has read a prompt.
+    /// Adds all parts of a prompt that the engine has prefilled.
     pub fn read(&mut self, parts: &[Part]) {
         for (index, part) in parts.iter().enumerate() {
-            self.put(*part, index + 1 < parts.len());
+            self.insert(*part, index + 1 < parts.len());
         }
-        self.shrink();
+        self.evict();
     }
 
-    /// The engine begins to read a prompt; gives the shared parts that are new to it.
+    /// Adds the parts of a prompt that the engine starts to prefill; returns the shared parts that weren't cached.
     pub fn begin(&mut self, parts: &[Part], reader: id::Attempt) -> Vec<u64> {
         let shared = &parts[..parts.len().saturating_sub(1)];
-        let new: Vec<_> = shared.iter().map(|part| part.id).filter(|id| !self.kept.contains_key(id)).collect();
+        let new: Vec<_> = shared.iter().map(|part| part.id).filter(|id| !self.cached.contains_key(id)).collect();
         self.read(parts);
         for id in &new {
-            if let Some(kept) = self.kept.get_mut(id) {
-                kept.reader = Some(reader);
+            if let Some(cached) = self.cached.get_mut(id) {
+                cached.reader = Some(reader);
             }
         }
         new
     }
 
-    /// Parts that somebody was reading are read.
+    /// Marks parts as prefilled.
     pub fn finish(&mut self, parts: &[u64]) {
         for id in parts {
-            if let Some(kept) = self.kept.get_mut(id) {
-                kept.reader = None;
+            if let Some(cached) = self.cached.get_mut(id) {
+                cached.reader = None;
             }
         }
     }
 
-    /// Parts that somebody was reading won't be read to their end.
+    /// Removes parts whose prefill by `reader` was aborted.
     pub fn lose(&mut self, parts: &[u64], reader: id::Attempt) {
         for id in parts {
-            if self.kept.get(id).is_some_and(|kept| kept.reader == Some(reader))
-                && let Some(kept) = self.kept.remove(id)
+            if self.cached.get(id).is_some_and(|cached| cached.reader == Some(reader))
+                && let Some(cached) = self.cached.remove(id)
             {
-                self.held -= u64::from(kept.tokens);
-                self.order.remove(&kept.used);
-                self.gone(*id, kept);
+                self.size -= u64::from(cached.tokens);
+                self.by_last_use.remove(&cached.last_used);
+                self.record_removal(*id, cached);
             }
         }
     }
 
-    /// The engine holds nothing any more.
+    /// Empties the cache.
     pub fn clear(&mut self) {
-        for (id, kept) in std::mem::take(&mut self.kept) {
-            self.gone(id, kept);
+        for (id, cached) in std::mem::take(&mut self.cached) {
+            self.record_removal(id, cached);
         }
-        self.order.clear();
-        self.held = 0;
+        self.by_last_use.clear();
+        self.size = 0;
     }
 
-    /// Shared parts that are held from now on, or no longer are, since this was called last.
+    /// Returns the shared parts that were added (`true`) or removed (`false`) since the last call.
     pub fn take_changes(&mut self) -> Vec<(u64, bool)> {
         std::mem::take(&mut self.changes)
     }
 
-    fn gone(&mut self, id: u64, kept: Kept) {
-        if kept.shared {
+    fn record_removal(&mut self, id: u64, cached: CachedPart) {
+        if cached.shared {
             self.changes.push((id, false));
         }
     }
 
-    /// The parts that other prompts may share, the least lately used first.
+    /// Returns the parts that other prompts may share, the least recently used first.
     #[must_use]
     pub fn shared(&self) -> Vec<Part> {
-        let kept = self.order.values().filter_map(|id| Some((*id, self.kept.get(id)?)));
-        kept.filter(|(_, kept)| kept.shared).map(|(id, kept)| Part { id, tokens: kept.tokens }).collect()
+        let cached = self.by_last_use.values().filter_map(|id| Some((*id, self.cached.get(id)?)));
+        cached.filter(|(_, cached)| cached.shared).map(|(id, cached)| Part { id, tokens: cached.tokens }).collect()
     }
 
-    /// Takes over what another router believes, or what the engine says, as far as it isn't known here.
+    /// Adds the parts that another router's model or the engine itself lists, unless they are cached here already.
     pub fn learn(&mut self, parts: &[Part]) {
         for part in parts {
-            if !self.kept.contains_key(&part.id) {
-                self.put(*part, true);
+            if !self.cached.contains_key(&part.id) {
+                self.insert(*part, true);
             }
         }
-        self.shrink();
+        self.evict();
     }
 
-    fn put(&mut self, part: Part, shared: bool) {
+    fn insert(&mut self, part: Part, shared: bool) {
         self.clock += 1;
-        let before = self.kept.get(&part.id).copied();
-        let reader = before.and_then(|kept| kept.reader);
-        // What others may have stays so, also where a prompt ends with it.
-        let was_shared = before.is_some_and(|kept| kept.shared);
+        let before = self.cached.get(&part.id).copied();
+        let reader = before.and_then(|cached| cached.reader);
+        // A shared part stays shared, also where a prompt ends with it.
+        let was_shared = before.is_some_and(|cached| cached.shared);
         if shared && !was_shared {
             self.changes.push((part.id, true));
         }
-        let kept = Kept { tokens: part.tokens, used: self.clock, shared: shared || was_shared, reader };
-        if let Some(old) = self.kept.insert(part.id, kept) {
-            self.held -= u64::from(old.tokens);
-            self.order.remove(&old.used);
+        let cached = CachedPart { tokens: part.tokens, last_used: self.clock, shared: shared || was_shared, reader };
+        if let Some(old) = self.cached.insert(part.id, cached) {
+            self.size -= u64::from(old.tokens);
+            self.by_last_use.remove(&old.last_used);
         }
-        self.held += u64::from(part.tokens);
-        self.order.insert(self.clock, part.id);
+        self.size += u64::from(part.tokens);
+        self.by_last_use.insert(self.clock, part.id);
     }
 
-    fn shrink(&mut self) {
-        while self.held > self.capacity {
-            let Some((_, oldest)) = self.order.pop_first() else {
+    fn evict(&mut self) {
+        while self.size > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 break;
             };
-            if let Some(gone) = self.kept.remove(&oldest) {
-                self.held -= u64::from(gone.tokens);
-                self.gone(oldest, gone);
+            if let Some(evicted) = self.cached.remove(&oldest) {
+                self.size -= u64::from(evicted.tokens);
+                self.record_removal(oldest, evicted);
             }
         }
     }
--- a/crates/stairvale-dispatch/src/health.rs
+++ b/crates/stairvale-dispatch/src/health.rs
@@ -1,4 +1,4 @@
-//! How an upstream does, judged by what became of the requests it was given.
+//! Health of an upstream, derived from the outcomes of the requests it was given.
 
 use std::time::Duration;
 
@@ -6,42 +6,42 @@
 
 use crate::Outcome;
 
-/// What was seen loses half of its weight in this time, so that an upstream that was left alone is thought of again.
+/// Outcomes lose half of their weight in this time, so that an upstream that was avoided is considered again.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-/// Bad outcomes that a judgement needs at least.
-const ENOUGH: f64 = 2.5;
-/// How much more often than the others an upstream must fail to be left alone.
-const EXCESS: f64 = 0.25;
-/// An upstream that fails more often than this is in doubt.
-const DOUBT: f64 = 0.05;
-/// The first pause of an upstream that is left alone; it doubles up to [`LONGEST`].
-const FIRST: Duration = Duration::from_millis(1_000);
-/// The longest pause.
-const LONGEST: Duration = Duration::from_secs(4);
-/// A full upstream is left alone for this long.
-const FULL: Duration = Duration::from_millis(50);
-/// Good outcomes in a row, one at a time, that show an upstream that failed to be well again.
-const TRIALS: u8 = 3;
-/// How much one answer's time counts in the mean.
+/// Minimum weight of bad outcomes before an upstream is closed.
+const MIN_BAD_WEIGHT: f64 = 2.5;
+/// An upstream is closed when its failure rate exceeds that of the others by this.
+const FAILURE_RATE_MARGIN: f64 = 0.25;
+/// Failure rate above which an upstream is in doubt.
+const DOUBT_FAILURE_RATE: f64 = 0.05;
+/// The first pause of a closed upstream; it doubles up to [`MAX_PAUSE`].
+const INITIAL_PAUSE: Duration = Duration::from_millis(1_000);
+/// The longest pause of a closed upstream.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// How long a full upstream gets no requests.
+const FULL_PAUSE: Duration = Duration::from_millis(50);
+/// Number of good outcomes in a row, one request at a time, that show that an upstream which failed has recovered.
+const PROBATION_REQUESTS: u8 = 3;
+/// Weight of one answer's time in the mean.
 const MEAN_WEIGHT: f64 = 0.2;
 
-/// What is known of one upstream's answers.
+/// The recent outcomes of one upstream, and whether it may be given requests.
 #[derive(Clone, Debug)]
 pub struct Health {
     good: f64,
     bad: f64,
-    /// The mean of answers' times over what was expected, less one.
-    excess: f64,
-    /// When the three above were brought up to date.
-    at: Moment,
+    /// The mean of the answers' times relative to the expected time, less one.
+    slowdown: f64,
+    /// When the three values above were last updated.
+    updated: Moment,
     closed_until: Moment,
     pause: Duration,
-    /// Good outcomes that are still needed, one at a time.
-    trials: u8,
-    trying: bool,
-    given: Moment,
-    /// Whether it was silent, or couldn't be reached, when it was last heard of.
-    silent: bool,
+    /// Good outcomes that are still needed, one request at a time.
+    probation: u8,
+    probing: bool,
+    last_given: Moment,
+    /// Whether the last request whose outcome concerns the upstream got no response, or no connection.
+    unresponsive: bool,
 }
 
 impl Default for Health {
@@ -49,82 +49,83 @@
         Self {
             good: 0.0,
             bad: 0.0,
-            excess: 0.0,
-            at: Moment::ZERO,
+            slowdown: 0.0,
+            updated: Moment::ZERO,
             closed_until: Moment::ZERO,
-            pause: FIRST,
-            trials: 0,
-            trying: false,
-            given: Moment::ZERO,
-            silent: false,
+            pause: INITIAL_PAUSE,
+            probation: 0,
+            probing: false,
+            last_given: Moment::ZERO,
+            unresponsive: false,
         }
     }
 }
 
 impl Health {
-    /// Whether it may be given a request now.
+    /// Whether the upstream may be given a request now.
     #[must_use]
     pub fn is_open(&self, now: Moment) -> bool {
-        now >= self.closed_until && !(self.is_trial() && self.trying)
+        now >= self.closed_until && !(self.is_on_probation() && self.probing)
     }
 
-    /// Whether nothing came from it when something was asked of it last. An error is an answer, too.
+    /// Whether the last request to the upstream got no response. An error counts as a response.
     #[must_use]
     pub fn is_silent(&self) -> bool {
-        self.silent
+        self.unresponsive
     }
 
-    /// Whether it is only being tried, one request at a time.
+    /// Whether the upstream is on probation, with one request at a time.
     #[must_use]
-    pub fn is_trial(&self) -> bool {
-        self.trials > 0
+    pub fn is_on_probation(&self) -> bool {
+        self.probation > 0
     }
 
-    /// Whether it is worth a request that may run twice, to see how it does: it failed, and hasn't been asked lately.
+    /// Whether the upstream should be probed with a request that may run twice: it failed, and hasn't been given a
+    /// request lately.
     #[must_use]
-    pub fn is_due(&self, now: Moment) -> bool {
-        self.is_trial() || (self.doubt(now) > 0.0 && now.since(self.given) >= FIRST)
+    pub fn needs_probe(&self, now: Moment) -> bool {
+        self.is_on_probation() || (self.excess_failure_rate(now) > 0.0 && now.since(self.last_given) >= INITIAL_PAUSE)
     }
 
-    /// How much longer than expected it takes; 1 is as expected.
+    /// Returns the time of answers relative to the expected time; 1 is as expected.
     #[must_use]
     pub fn pace(&self, now: Moment) -> f64 {
-        1.0 + self.excess * self.left(now)
+        1.0 + self.slowdown * self.remaining_weight(now)
     }
 
-    /// How much more often it fails than one that isn't in doubt.
+    /// Returns by how much the failure rate exceeds the rate from which an upstream is in doubt.
     #[must_use]
-    pub fn doubt(&self, now: Moment) -> f64 {
-        (self.failing(now) - DOUBT).max(0.0)
+    pub fn excess_failure_rate(&self, now: Moment) -> f64 {
+        (self.failure_rate(now) - DOUBT_FAILURE_RATE).max(0.0)
     }
 
-    /// The share of its outcomes that were bad.
+    /// Returns the share of bad outcomes.
     #[must_use]
-    pub fn failing(&self, now: Moment) -> f64 {
-        let left = self.left(now);
-        // Two good outcomes are assumed, so that one bad one says little.
-        self.bad * left / ((self.good + self.bad) * left + 2.0)
+    pub fn failure_rate(&self, now: Moment) -> f64 {
+        let weight = self.remaining_weight(now);
+        // Two good outcomes are assumed in addition, so that a single bad one has little effect.
+        self.bad * weight / ((self.good + self.bad) * weight + 2.0)
     }
 
-    /// It is given a request.
-    pub fn given(&mut self, now: Moment) {
-        self.trying = true;
-        self.given = now;
+    /// Records that the upstream is given a request.
+    pub fn record_given(&mut self, now: Moment) {
+        self.probing = true;
+        self.last_given = now;
     }
 
-    /// An answer took `ratio` times what was expected.
-    pub fn took(&mut self, now: Moment, ratio: f64) {
+    /// Records an answer that took `ratio` times the expected time.
+    pub fn record_time(&mut self, now: Moment, ratio: f64) {
         self.fade(now);
-        self.excess += (ratio.clamp(0.2, 20.0) - 1.0 - self.excess) * MEAN_WEIGHT;
+        self.slowdown += (ratio.clamp(0.2, 20.0) - 1.0 - self.slowdown) * MEAN_WEIGHT;
     }
 
-    /// A request ended; `usual` is the share of bad outcomes among the others.
+    /// Records the outcome of a request; `usual` is the share of bad outcomes among the other upstreams.
     pub fn observe(&mut self, now: Moment, outcome: Outcome, usual: f64) {
         self.fade(now);
         match outcome {
-            Outcome::Silent | Outcome::Unreachable | Outcome::Gone | Outcome::Ended => self.silent = true,
-            Outcome::Served | Outcome::Failed | Outcome::Shed => self.silent = false,
-            // It says nothing of the upstream.
+            Outcome::Silent | Outcome::Unreachable | Outcome::Gone | Outcome::Ended => self.unresponsive = true,
+            Outcome::Served | Outcome::Failed | Outcome::Shed => self.unresponsive = false,
+            // The outcome was caused by the entry router and says nothing about the upstream.
             Outcome::Abandoned => {}
         }
         match outcome {
@@ -136,52 +137,52 @@
             }
             Outcome::Unreachable | Outcome::Gone | Outcome::Ended => self.close(now, 1),
             Outcome::Shed => {
-                self.trying = false;
-                self.closed_until = self.closed_until.max(now + FULL);
+                self.probing = false;
+                self.closed_until = self.closed_until.max(now + FULL_PAUSE);
             }
-            Outcome::Abandoned => self.trying = false,
+            Outcome::Abandoned => self.probing = false,
         }
     }
 
     fn served(&mut self) {
         self.good += 1.0;
-        self.trying = false;
-        if self.trials == 1 {
-            self.pause = (self.pause / 2).max(FIRST);
+        self.probing = false;
+        if self.probation == 1 {
+            self.pause = (self.pause / 2).max(INITIAL_PAUSE);
             self.bad = 0.0;
         }
-        self.trials = self.trials.saturating_sub(1);
+        self.probation = self.probation.saturating_sub(1);
     }
 
     fn failed(&mut self, now: Moment, usual: f64) {
         self.bad += 1.0;
-        self.trying = false;
-        let clearly = self.bad >= ENOUGH && self.failing(now) > usual + EXCESS;
-        if self.is_trial() || clearly {
-            self.close(now, TRIALS);
+        self.probing = false;
+        let exceeds_others = self.bad >= MIN_BAD_WEIGHT && self.failure_rate(now) > usual + FAILURE_RATE_MARGIN;
+        if self.is_on_probation() || exceeds_others {
+            self.close(now, PROBATION_REQUESTS);
         }
     }
 
-    fn close(&mut self, now: Moment, trials: u8) {
-        self.trying = false;
+    fn close(&mut self, now: Moment, probation: u8) {
+        self.probing = false;
         if now < self.closed_until {
             return;
         }
-        self.trials = self.trials.max(trials);
+        self.probation = self.probation.max(probation);
         self.closed_until = now + self.pause;
-        self.pause = (self.pause * 2).min(LONGEST);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
     }
 
-    /// The weight that is left of what was seen when it was last brought up to date.
-    fn left(&self, now: Moment) -> f64 {
-        0.5_f64.powf(now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64())
+    /// Returns the remaining weight of the outcomes since the last update.
+    fn remaining_weight(&self, now: Moment) -> f64 {
+        0.5_f64.powf(now.since(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
     fn fade(&mut self, now: Moment) {
-        let left = self.left(now);
-        self.good *= left;
-        self.bad *= left;
-        self.excess *= left;
-        self.at = now;
+        let weight = self.remaining_weight(now);
+        self.good *= weight;
+        self.bad *= weight;
+        self.slowdown *= weight;
+        self.updated = now;
     }
 }
--- a/crates/stairvale-dispatch/src/lib.rs
+++ b/crates/stairvale-dispatch/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which upstream of a service serves a request, decided at the service's home.
+//! Selection of the upstream that serves a request, at the home of its service.
 //!
-//! One router is the home of a service; every entry asks it before it sends a request, and tells it what became of it. So
-//! the home's [`Pool`] knows what each upstream runs, what it still has to read, which parts of prompts it holds and how
-//! its answers compare with the others', without asking the upstreams. [`Window`] is the entry's share of the retry budget.
+//! One router is the home of a service. Every entry router requests a permit from it before it sends a request to an
+//! upstream, and reports the outcome. So the home's [`Pool`] records which requests each upstream runs, which tokens it
+//! still has to prefill, which parts of prompts it holds and how its answers compare with those of the others, without
+//! querying the upstreams. [`Window`] is the entry router's share of the retry budget.
 //!
-//! All of it is pure: time and messages are handed in, answers are handed out.
+//! The crate has no side effects: the current time and messages are passed in, answers are returned.
 //!
 //! ```
 //! use stairvale_dispatch::{Pool, pool::Rules};
--- a/crates/stairvale-dispatch/src/pool.rs
+++ b/crates/stairvale-dispatch/src/pool.rs
@@ -283,7 +283,7 @@
             member.apply_listing(now, listing);
             self.usable.add(member);
             self.versions.set_admission(member);
-            self.holders.follow(member);
+            self.holders.apply_changes(member);
         }
         answers
     }
@@ -329,7 +329,7 @@
                 && let Some(mut member) = members.remove(id)
             {
                 member.cache.clear();
-                holders.follow(&mut member);
+                holders.apply_changes(&mut member);
                 ring.remove(&member);
             }
             stays
@@ -377,7 +377,7 @@
         // The time of a copy depends on the source and the path between the zones as well, not on this engine alone.
         match &hold.source_zone {
             Some(from) => self.paths.end(now, from, &member.zone, took, *expected_ms),
-            None if *expected_ms > 0.0 => member.health.took(now, (took + 20.0) / (expected_ms + 20.0)),
+            None if *expected_ms > 0.0 => member.health.record_time(now, (took + 20.0) / (expected_ms + 20.0)),
             None => {}
         }
         self.stop_prefill(new_parts, attempt);
@@ -413,7 +413,7 @@
                 member.cache.finish(&read);
             } else {
                 member.cache.lose(&read, attempt);
-                self.holders.follow(member);
+                self.holders.apply_changes(member);
             }
             if let Some(took) = took {
                 held = hold.as_ref().filter(|hold| hold.expected_ms > 0.0).map(|hold| (now.since(hold.since), took));
@@ -422,7 +422,7 @@
                     self.mean_time_ms += (took - self.mean_time_ms) * MEAN_WEIGHT;
                 }
                 if hold.as_ref().is_some_and(|hold| hold.expected_ms > 0.0) {
-                    member.health.took(now, (took + 5.0) / (self.mean_time_ms + 5.0));
+                    member.health.record_time(now, (took + 5.0) / (self.mean_time_ms + 5.0));
                 }
             }
             member.health.observe(now, outcome, median);
@@ -514,7 +514,7 @@
             self.shares.end(now, attempt);
             if let Some(hold) = hold {
                 member.cache.lose(&hold.new_parts, attempt);
-                self.holders.follow(member);
+                self.holders.apply_changes(member);
                 self.stop_prefill(&hold.new_parts, attempt);
             }
         }
@@ -538,7 +538,7 @@
         let others = self.sample(except.hash64());
         self.count_scanned(others.len());
         let others = others.into_iter().filter(|member| &member.id != except && reach.reaches(member));
-        let mut rates: Vec<_> = others.map(|member| member.health.failing(now)).collect();
+        let mut rates: Vec<_> = others.map(|member| member.health.failure_rate(now)).collect();
         rates.sort_by(f64::total_cmp);
         rates.get(rates.len() / 2).copied().unwrap_or(0.0)
     }
--- a/crates/stairvale-dispatch/src/pool/allowance/versions.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/versions.rs
@@ -14,12 +14,13 @@
 /// A route's request is tried once this much of a request is due to the route, so that as many are tried too early as
 /// too late.
 const TRY_THRESHOLD: f64 = 0.5;
-/// Maximum number of requests due to a route; requests beyond it go to other routes.
+/// Maximum number of requests due to a route. A route that hasn't enough requests in time loses those beyond it to other
+/// routes.
 const MAX_DUE: f64 = 2.0;
 /// Share of a route's past requests that counts for the next reservation.
 const PAST_REQUESTS_SHARE: f64 = 0.5;
-/// No selected upstream gets this many requests more than another one that has room: their costs may differ, but each
-/// of them has to be tried.
+/// A selected upstream that got more requests than another one by more than this gets no further ones while the other
+/// has room: their costs may differ, but each of them has to be tried.
 const MAX_IMBALANCE: u32 = 1;
 /// Interval after which the selected upstreams are checked again for whether they can be given requests: short compared
 /// with the time of a reservation, long compared with the interval between two requests of a busy service.
@@ -206,7 +207,7 @@
             // A member that failed and is only being probed doesn't count as ready.
             let may = member.admission != Admission::Nothing;
             // But a member on trial counts, since the trial has to show whether it fails.
-            let healthy = !member.health.is_trial() || member.admission == Admission::Trial;
+            let healthy = !member.health.is_on_probation() || member.admission == Admission::Trial;
             let ready = usize::from(may && reach.reaches(member) && healthy);
             if member.is_new {
                 facts.ready_new += ready;
@@ -245,8 +246,9 @@
         };
         active.last_check = Some(now);
         let reach = self.reach(now);
-        let serves_untried =
-            |member: &&Member| member.admission == Admission::Any && reach.reaches(member) && !member.health.is_trial();
+        let serves_untried = |member: &&Member| {
+            member.admission == Admission::Any && reach.reaches(member) && !member.health.is_on_probation()
+        };
         let serving = self.members.values().filter(serves_untried).count();
         let near = |member: &Member| member.admission == Admission::Trial && reach.is_near(member);
         // If all have failed so often that other requests would avoid them, they are tried all the same: two of them
--- a/crates/stairvale-dispatch/src/pool/choose.rs
+++ b/crates/stairvale-dispatch/src/pool/choose.rs
@@ -45,7 +45,7 @@
 
 /// The cost of serving a request at one member.
 #[derive(Clone, Debug)]
-struct Bid<'a> {
+struct CostEstimate<'a> {
     /// The cost in ms: the value of an earlier answer, and the load that the request puts on others.
     cost: f64,
     /// The expected time to the first event, in ms.
@@ -145,7 +145,7 @@
         let is_tried = tried.is_some();
         let cheapest = tried.or_else(|| {
             let cost_limit = self.min_cost_elsewhere(ask);
-            self.best(&inputs, &full, Tier::FIRST).filter(|bid| bid.cost <= cost_limit).or_else(|| {
+            self.best(&inputs, &full, Tier::FIRST).filter(|estimate| estimate.cost <= cost_limit).or_else(|| {
                 let some = self.shortlist(ask, sample);
                 let all = || self.members.values().collect::<Vec<_>>();
                 self.tiers().iter().find_map(|tier| {
@@ -154,9 +154,9 @@
                 })
             })
         });
-        let bid = cheapest?;
-        let (upstream, source) = (bid.upstream.clone(), bid.source.cloned());
-        let Bid { expected_ms, typical_ms, read, .. } = bid;
+        let estimate = cheapest?;
+        let (upstream, source) = (estimate.upstream.clone(), estimate.source.cloned());
+        let CostEstimate { expected_ms, typical_ms, read, .. } = estimate;
         if is_tried {
             self.versions.record_trial(ask.route, &upstream);
         }
@@ -165,8 +165,8 @@
         Some(Answer { entry: ask.entry.clone(), attempt: ask.attempt, verdict })
     }
 
-    /// Returns the bid with the lowest cost among some members.
-    fn best<'a>(&self, inputs: &Inputs<'a>, members: &[&'a Member], tier: Tier) -> Option<Bid<'a>> {
+    /// Returns the estimate with the lowest cost among some members.
+    fn best<'a>(&self, inputs: &Inputs<'a>, members: &[&'a Member], tier: Tier) -> Option<CostEstimate<'a>> {
         let Decision { now, ask, .. } = inputs.decision;
         let candidate = |member: &Member| {
             inputs.scope.contains(member)
@@ -174,16 +174,16 @@
                 && self.has_room(member, ask, inputs.bound)
         };
         self.count_scanned(members.len());
-        let mut best: Option<(Bid<'a>, u64)> = None;
+        let mut best: Option<(CostEstimate<'a>, u64)> = None;
         for member in members.iter().filter(|member| candidate(member)) {
             let score = inputs.order.score(member);
-            let bid = self.bid(now, member, ask, &inputs.sources, inputs.order.rank(score));
+            let estimate = self.estimate(now, member, ask, &inputs.sources, inputs.order.rank(score));
             // Of two members with equal costs, the one that ranks first wins, as it does at every router.
-            if best.as_ref().is_none_or(|(best, top)| (bid.cost, *top) < (best.cost, score)) {
-                best = Some((bid, score));
+            if best.as_ref().is_none_or(|(best, top)| (estimate.cost, *top) < (best.cost, score)) {
+                best = Some((estimate, score));
             }
         }
-        best.map(|(bid, _)| bid)
+        best.map(|(estimate, _)| estimate)
     }
 
     /// Returns the members that hold all shared parts of a prompt.
@@ -255,8 +255,8 @@
             self.paths.begin(now, from, &member.zone);
         }
         let new_parts = member.cache.begin(&ask.parts, ask.attempt);
-        self.holders.follow(member);
-        member.health.given(now);
+        self.holders.apply_changes(member);
+        member.health.record_given(now);
         member.record_grant(now);
         let tokens = own + ask.output;
         let hold = Hold {
@@ -290,10 +290,10 @@
             return Vec::new();
         }
         let can = |member: &&Member| reach.can_copy(member) && ask.allows(&member.zone);
-        let sources = |member: &'a Member| (member.cache.covers(ask.shared()), &member.id);
+        let with_tokens = |member: &'a Member| (member.cache.covers(ask.shared()), &member.id);
         let two = |all: &mut dyn Iterator<Item = &'a Member>| {
             let mut most: Vec<(u32, &'a id::Upstream)> = Vec::with_capacity(3);
-            for source in all.filter(can).map(sources).filter(|(tokens, _)| *tokens >= MIN_COPY_TOKENS) {
+            for source in all.filter(can).map(with_tokens).filter(|(tokens, _)| *tokens >= MIN_COPY_TOKENS) {
                 if most.len() < 2 || most[1] < source {
                     most.push(source);
                     most.sort_by(|a, b| b.cmp(a));
@@ -336,14 +336,14 @@
 
     /// Computes the cost of serving a request at a member.
     #[allow(clippy::cast_precision_loss)]
-    fn bid<'a>(
+    fn estimate<'a>(
         &self,
         now: Moment,
         member: &'a Member,
         ask: &Ask,
         sources: &[(u32, &'a id::Upstream)],
         rank: usize,
-    ) -> Bid<'a> {
+    ) -> CostEstimate<'a> {
         let prompt: u32 = ask.parts.iter().map(|part| part.tokens).sum();
         let own = ask.parts.last().map_or(0, |part| part.tokens);
         let covered = member.cache.covers(&ask.parts);
@@ -368,19 +368,19 @@
         let far = if member.zone == ask.zone { 0.0 } else { CROSS_ZONE_COST_MS };
         let step = rank as f64 * RANK_STEP_COST_MS;
         // A repeatable request can show whether an upstream that failed has recovered.
-        let probes = ask.repeatable && member.health.is_due(now);
-        let failing = if probes { -PROBE_VALUE_MS } else { member.health.doubt(now) * FAILURE_COST_MS };
+        let probes = ask.repeatable && member.health.needs_probe(now);
+        let failing = if probes { -PROBE_VALUE_MS } else { member.health.excess_failure_rate(now) * FAILURE_COST_MS };
         let typical_ms = time + load_cost + far;
         let time = time * pace;
         let cost = lateness(time, ask.objective) + work + load_cost * pace + far + step + failing;
         let expected_ms = time + load_cost * pace + far;
-        Bid { cost, expected_ms, typical_ms, upstream: &member.id, read, source: source.map(|(_, id)| *id) }
+        CostEstimate { cost, expected_ms, typical_ms, upstream: &member.id, read, source: source.map(|(_, id)| *id) }
     }
 }
 
-/// Returns the key by which members are ranked for a prompt: the name of its shared prefix.
+/// Returns the key by which members are ranked for a prompt: the hash of its shared prefix.
 fn rank_key(parts: &[Part]) -> u64 {
-    cache::name(if parts.len() > 1 { &parts[..parts.len() - 1] } else { parts })
+    cache::prefix_hash(if parts.len() > 1 { &parts[..parts.len() - 1] } else { parts })
 }
 
 /// Returns the cost of a time to the first event: low while it is far below the objective, high when it comes near it.
--- a/crates/stairvale-dispatch/src/pool/follow.rs
+++ b/crates/stairvale-dispatch/src/pool/follow.rs
@@ -37,17 +37,17 @@
         }
         let reach = self.reach(now);
         let reached = |member: &&Member| reach.may_use(member) && ask.allows(&member.zone);
-        let holders = ask.shared().iter().filter_map(|part| self.prefilling.get(&part.id)).flatten();
-        let holders: BTreeSet<_> = holders.filter_map(|attempt| self.placements.get(*attempt)).collect();
+        let attempts = ask.shared().iter().filter_map(|part| self.prefilling.get(&part.id)).flatten();
+        let upstreams: BTreeSet<_> = attempts.filter_map(|attempt| self.placements.get(*attempt)).collect();
         // Usually no attempt is prefilling any of its parts.
-        if holders.is_empty() {
+        if upstreams.is_empty() {
             return None;
         }
-        self.count_scanned(holders.len());
+        self.count_scanned(upstreams.len());
         let ready = self.ready(ask, reached);
         let is_worthwhile =
             |tokens: u32| self.prefill.time(f64::from(tokens.saturating_sub(ready))) >= millis(MIN_PREFILL_TIME);
-        let prefilling = holders.into_iter().filter_map(|upstream| self.members.get(upstream)).filter(reached);
+        let prefilling = upstreams.into_iter().filter_map(|upstream| self.members.get(upstream)).filter(reached);
         let ahead = prefilling.filter(|member| is_worthwhile(member.cache.covers(ask.shared())));
         let mut leaders = ahead.filter_map(|member| {
             let leader = member.cache.reader(ask.shared())?;
--- a/crates/stairvale-dispatch/src/pool/holders.rs
+++ b/crates/stairvale-dispatch/src/pool/holders.rs
@@ -34,7 +34,7 @@
     }
 
     /// Applies the changes of a member's cache since the last call for it.
-    pub(super) fn follow(&mut self, member: &mut Member) {
+    pub(super) fn apply_changes(&mut self, member: &mut Member) {
         for (part, held) in member.cache.take_changes() {
             if held {
                 self.of.entry(part).or_default().push(member.id.clone());
@@ -61,7 +61,7 @@
         if let Some(member) = self.members.get_mut(upstream) {
             member.cache.learn(parts);
             member.cache_known = true;
-            self.holders.follow(member);
+            self.holders.apply_changes(member);
         }
     }
 
@@ -80,7 +80,7 @@
     pub fn learn_read(&mut self, upstream: &id::Upstream, parts: &[Part]) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.cache.read(parts);
-            self.holders.follow(member);
+            self.holders.apply_changes(member);
         }
     }
 
@@ -103,7 +103,7 @@
         }
         if let Some(member) = self.members.get_mut(upstream) {
             member.cache.read(parts);
-            self.holders.follow(member);
+            self.holders.apply_changes(member);
         }
     }
 }
--- a/crates/stairvale-dispatch/src/pool/queue.rs
+++ b/crates/stairvale-dispatch/src/pool/queue.rs
@@ -12,7 +12,7 @@
 use super::Pool;
 use crate::{
     Answer, Ask, Member, Verdict,
-    shares::{Fade, Number, Queue, Standing},
+    shares::{AccountId, Fade, Queue, Usage},
 };
 
 /// The longest retry delay that a refusal states.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     ask: Ask,
-    customer: Number,
+    customer: AccountId,
     since: Moment,
     until: Moment,
     number: u64,
@@ -48,9 +48,9 @@
 
 impl Position {
     /// Returns the position of a customer's request that follows `ahead` others of the same customer.
-    fn of(standing: &Standing, ahead: u32, priority: u8) -> Self {
+    fn of(usage: &Usage, ahead: u32, priority: u8) -> Self {
         let ahead = f64::from(ahead);
-        Self { is_over: standing.is_over(ahead + 1.0), priority, score: standing.score + ahead * standing.step }
+        Self { is_over: usage.is_over(ahead + 1.0), priority, score: usage.score + ahead * usage.step }
     }
 }
 
@@ -62,13 +62,13 @@
 }
 
 impl Pool {
-    /// Grants a request that arrived at `asked`, refuses it, or queues it for the rest of its maximum wait.
-    pub(super) fn admit(&mut self, now: Moment, ask: Ask, asked: Moment) -> Vec<Answer> {
+    /// Grants a request that arrived at `arrived`, refuses it, or queues it for the rest of its maximum wait.
+    pub(super) fn admit(&mut self, now: Moment, ask: Ask, arrived: Moment) -> Vec<Answer> {
         if self.suspects.is_pending(ask.fingerprint) {
             // A decision whether the request may go anywhere follows shortly.
             return vec![refuse(&ask, Reason::Busy, MIN_RETRY_DELAY)];
         }
-        if self.follow(now, &ask, asked) {
+        if self.follow(now, &ask, arrived) {
             return Vec::new();
         }
         if self.waiting.is_empty()
@@ -78,7 +78,7 @@
         }
         let customer = self.shares.open(ask.customer.as_ref());
         self.last_number += 1;
-        let until = asked + ask.patience;
+        let until = arrived + ask.patience;
         let waiting = Waiting { ask, customer, since: now, until, number: self.last_number };
         let Some(wait) = self.predict(now, &waiting) else {
             return vec![refuse(&waiting.ask, Reason::NoUpstream, NO_UPSTREAM_RETRY_DELAY)];
@@ -150,7 +150,7 @@
     /// Called when a customer's new request has overtaken others: refuses the last request of another customer that is
     /// over its share, if that request can no longer be served within its maximum wait. An early refusal is better than
     /// one when the wait ends.
-    fn refuse_overtaken(&mut self, now: Moment, new: Number) -> Option<Answer> {
+    fn refuse_overtaken(&mut self, now: Moment, new: AccountId) -> Option<Answer> {
         let state = self.queue_state(now);
         let last = self.shares.queues().map(|queue| (queue.number, self.positions(state, queue).last()));
         let (customer, position) = last.max_by(|a, b| compare(a.1.as_ref(), b.1.as_ref()))?;
@@ -182,7 +182,7 @@
     }
 
     // ------------------------------------------------------------------------
-    // Turns.
+    // Order of the queue.
 
     /// Returns the number of slots that each customer with a weight of one may hold while requests wait.
     pub(super) fn level(&self, now: Moment) -> f64 {
@@ -201,7 +201,7 @@
         let candidates = self.waiting.iter().enumerate().filter(|(_, waiting)| !skipped.contains(&waiting.number));
         // The most urgent request of a customer comes first anyway, so requests ahead of it needn't be counted.
         let position = |waiting: &Waiting| {
-            Position::of(&self.shares.standing(state.fade, waiting.customer, state.level), 0, waiting.ask.priority)
+            Position::of(&self.shares.usage(state.fade, waiting.customer, state.level), 0, waiting.ask.priority)
         };
         let positions = candidates.map(|(index, waiting)| (index, position(waiting), waiting.number));
         let first = positions.min_by(|a, b| compare(Some(&a.1), Some(&b.1)).then(a.2.cmp(&b.2)));
@@ -210,9 +210,9 @@
 
     /// Returns the positions of all waiting requests of a customer.
     fn positions<'a>(&self, state: QueueState, queue: Queue<'a>) -> impl Iterator<Item = Position> + use<'a> {
-        let standing = self.shares.standing(state.fade, queue.number, state.level);
-        let ranks = (0_u8..).zip(queue.waiting).flat_map(|(rank, count)| (0..*count).map(move |_| rank));
-        (0_u32..).zip(ranks).map(move |(ahead, rank)| Position::of(&standing, ahead, rank))
+        let usage = self.shares.usage(state.fade, queue.number, state.level);
+        let priorities = (0_u8..).zip(queue.waiting).flat_map(|(priority, count)| (0..*count).map(move |_| priority));
+        (0_u32..).zip(priorities).map(move |(ahead, priority)| Position::of(&usage, ahead, priority))
     }
 
     /// Predicts how long a request would wait for a slot; `None` if no upstream could ever serve it.
@@ -230,10 +230,10 @@
         let open = able.iter().filter(|member| member.health.is_open(now));
         let slots: u32 = open.map(|member| self.request_limit(member)).sum();
         let state = self.queue_state(now);
-        let standing = |number| self.shares.standing(state.fade, number, state.level);
+        let usage = |number| self.shares.usage(state.fade, number, state.level);
         let own_queue = self.shares.queues().find(|queue| queue.number == new.customer);
         let own = own_queue.map_or(0, |queue| queue.waiting.iter().take(usize::from(ask.priority) + 1).sum());
-        let position = Position::of(&standing(new.customer), own, ask.priority);
+        let position = Position::of(&usage(new.customer), own, ask.priority);
         let (mut ahead, mut all) = (own, 0);
         for queue in self.shares.queues() {
             all += queue.waiting.iter().sum::<u32>();
@@ -243,11 +243,11 @@
             }
         }
         let before = |other: &&Waiting| {
-            compare(Some(&Position::of(&standing(other.customer), 0, other.ask.priority)), Some(&position)).is_le()
+            compare(Some(&Position::of(&usage(other.customer), 0, other.ask.priority)), Some(&position)).is_le()
         };
         let longest_wait =
             self.waiting.iter().filter(before).map(|other| now.since(other.since)).max().unwrap_or_default();
-        let share = standing(new.customer).share.max(1.0);
+        let share = usage(new.customer).share.max(1.0);
         let positions = (f64::from(ahead + 1) / f64::from(slots.max(1))).max(f64::from(own + 1) / share);
         let time = Duration::from_secs_f64(positions * self.hold_time_ms() / 1e3);
         // A request that has already waited long shows that slots become free more slowly than the mean says.
--- a/crates/stairvale-dispatch/src/pool/ring.rs
+++ b/crates/stairvale-dispatch/src/pool/ring.rs
@@ -35,7 +35,7 @@
     }
 
     /// Iterates over all members in ring order, starting at a point.
-    fn follow(&self, point: u64) -> impl Iterator<Item = &id::Upstream> {
+    fn iter_from(&self, point: u64) -> impl Iterator<Item = &id::Upstream> {
         self.0.range(point..).chain(self.0.range(..point)).map(|(_, id)| id)
     }
 }
@@ -51,7 +51,7 @@
         if self.scans_all() {
             return self.members.values().filter(|member| member.serves()).collect();
         }
-        let following = self.ring.follow(point).filter_map(|id| self.members.get(id));
+        let following = self.ring.iter_from(point).filter_map(|id| self.members.get(id));
         following.filter(|member| member.serves()).take(SAMPLE_SIZE).collect()
     }
 }
--- a/crates/stairvale-dispatch/src/pool/watch.rs
+++ b/crates/stairvale-dispatch/src/pool/watch.rs
@@ -21,7 +21,7 @@
 /// router takes as long.
 const SLOW_MARGIN_MS: f64 = 60.0;
 /// Maximum number of observations that are kept until the next report, several hundred times as many as arrive between
-/// two reports. Beyond it the oldest are dropped, as they are where no report is requested.
+/// two reports. Beyond it the oldest are dropped, which limits the memory where no report is requested.
 const MAX_OBSERVATIONS: usize = 8_192;
 /// Observations are dropped if no report was requested for this long, since a router that becomes the home judges by
 /// what happens from then on.
--- a/crates/stairvale-dispatch/src/reading.rs
+++ b/crates/stairvale-dispatch/src/reading.rs
@@ -1,57 +1,59 @@
-//! How long engines take to the first event, by what they have to read until then.
+//! A model of the engines' time to the first event, by the number of tokens to prefill.
 
-/// A prompt's first event when nothing is to be read, in ms, until answers have shown it.
-const FIRST_BASE: f64 = 30.0;
-/// Tokens read in a ms, until answers have shown it.
-const FIRST_RATE: f64 = 40.0;
-/// With less to read the answer's time tells the base.
-const LITTLE: f64 = 200.0;
-/// With more to read it tells the rate.
-const MUCH: f64 = 800.0;
-/// An answer that took more than so many times the mean counts as if it had taken that.
-const UNUSUAL: f64 = 3.0;
-/// The least time that reading a token is taken to need, in ms.
-const LEAST: f64 = 1e-3;
-/// How much one answer counts in a mean.
+/// Initial time to the first event without a prefill, in ms.
+const INITIAL_BASE_MS: f64 = 30.0;
+/// Initial prefill rate, in tokens per ms.
+const INITIAL_TOKENS_PER_MS: f64 = 40.0;
+/// Below this number of tokens an answer's time updates the base.
+const MAX_BASE_TOKENS: f64 = 200.0;
+/// From this number of tokens on an answer's time updates the time per token.
+const MIN_RATE_TOKENS: f64 = 800.0;
+/// An answer that took more than this multiple of the mean is counted as this multiple.
+const MAX_DEVIATION_RATIO: f64 = 3.0;
+/// Lower limit of the time per token, in ms.
+const MIN_TOKEN_MS: f64 = 1e-3;
+/// Weight of one answer in a mean.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// A line through what was seen: a base, and a time for each token.
+/// A linear model of the time to the first event: a base, and a time per token.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
-    /// The time of a first event when nothing is to be read, in ms.
-    base: f64,
-    /// The time that reading a token takes, in ms.
-    each: f64,
+    /// The time to the first event without a prefill, in ms.
+    base_ms: f64,
+    /// The prefill time per token, in ms.
+    token_ms: f64,
 }
 
 impl Default for Reading {
     fn default() -> Self {
-        Self { base: FIRST_BASE, each: 1.0 / FIRST_RATE }
+        Self { base_ms: INITIAL_BASE_MS, token_ms: 1.0 / INITIAL_TOKENS_PER_MS }
     }
 }
 
 impl Reading {
-    /// The time that reading so many tokens takes, in ms.
+    /// Returns the prefill time of a number of tokens, in ms.
     #[must_use]
     pub fn time(&self, tokens: f64) -> f64 {
-        tokens * self.each
+        tokens * self.token_ms
     }
 
-    /// The time to the first event with so many tokens to read before it, in ms.
+    /// Returns the time to the first event, with a number of tokens to prefill before it, in ms.
     #[must_use]
     pub fn first(&self, tokens: f64) -> f64 {
-        self.base + self.time(tokens)
+        self.base_ms + self.time(tokens)
     }
 
-    /// A first event came after `took` ms, with so many tokens to read before it and nothing else.
-    pub fn observe(&mut self, tokens: f64, took: f64) {
-        if tokens < LITTLE {
-            let base = (took - self.time(tokens)).max(0.0);
-            // What held it up for much longer says nothing of the usual.
-            self.base += (base.min(self.base * UNUSUAL) - self.base) * MEAN_WEIGHT;
-        } else if tokens >= MUCH {
-            let each = (took - self.base).max(0.0) / tokens;
-            self.each += (each.clamp(LEAST, self.each * UNUSUAL) - self.each) * MEAN_WEIGHT;
+    /// Updates the model by a first event that came after `took_ms` ms, with `tokens` tokens to prefill and no other
+    /// prefill.
+    pub fn observe(&mut self, tokens: f64, took_ms: f64) {
+        if tokens < MAX_BASE_TOKENS {
+            let base_ms = (took_ms - self.time(tokens)).max(0.0);
+            // A much longer delay has another cause than the base.
+            self.base_ms += (base_ms.min(self.base_ms * MAX_DEVIATION_RATIO) - self.base_ms) * MEAN_WEIGHT;
+        } else if tokens >= MIN_RATE_TOKENS {
+            let token_ms = (took_ms - self.base_ms).max(0.0) / tokens;
+            self.token_ms +=
+                (token_ms.clamp(MIN_TOKEN_MS, self.token_ms * MAX_DEVIATION_RATIO) - self.token_ms) * MEAN_WEIGHT;
         }
     }
 }
--- a/crates/stairvale-dispatch/src/seen.rs
+++ b/crates/stairvale-dispatch/src/seen.rs
@@ -26,7 +26,7 @@
     /// Records that a prompt was sent to an upstream.
     pub fn remember(&mut self, parts: &[Part], upstream: &id::Upstream) {
         for depth in 1..=shared(parts).len() {
-            let name = cache::name(&parts[..depth]);
+            let name = cache::prefix_hash(&parts[..depth]);
             if self.upstreams.insert(name, upstream.clone()).is_none() {
                 self.order.push_back(name);
             }
@@ -42,7 +42,7 @@
     #[must_use]
     pub fn find(&self, parts: &[Part]) -> Option<(usize, id::Upstream)> {
         (1..=shared(parts).len()).rev().find_map(|depth| {
-            let upstream = self.upstreams.get(&cache::name(&parts[..depth]))?;
+            let upstream = self.upstreams.get(&cache::prefix_hash(&parts[..depth]))?;
             Some((depth, upstream.clone()))
         })
     }
--- a/crates/stairvale-dispatch/src/shares.rs
+++ b/crates/stairvale-dispatch/src/shares.rs
@@ -1,8 +1,8 @@
-//! What each customer has of a service's places, and what its share of them is.
+//! Accounts of the slots that each customer of a service holds, and the customers' fair shares of them.
 //!
-//! An account is soft state of the service's home: what runs now, what waits now, and the mean of what ran over the last
-//! seconds. A router that becomes the home has it again once entries have named what they run. Nothing here is used while
-//! no request waits, but for counting.
+//! An account is soft state of the service's home: what runs now, what waits now, and the mean of what ran over the
+//! last seconds. A router that becomes the home rebuilds it once the entry routers have renewed their holds. While no
+//! request waits the accounts only count.
 
 use std::time::Duration;
 
@@ -11,71 +11,72 @@
 
 use crate::Weight;
 
-/// What ran counts less by half in this time. Long against one request, so that a place just taken or given back says little,
-/// and short against a surge, so that who has calmed down is soon forgiven.
+/// Half-life of the weight of past use. It is long compared with one request, so that a slot that was just taken or
+/// released matters little, and short compared with a burst, so that a customer whose burst has ended is soon treated
+/// like the others.
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// Means are told relative to a moment, which moves on after this long: before the numbers grow large.
-const EPOCH: Duration = Duration::from_secs(30);
-/// After so many half-lives nothing is left.
-const LIVES: f64 = 60.0;
-/// Ranks of requests that are told apart: 0 to 9.
-const RANKS: usize = 10;
-/// Below this many places, in the mean, a customer that runs and wants nothing is forgotten.
-const IDLE: f64 = 0.02;
-/// Customers that are told apart at most; those beyond are counted as one. Some 150 bytes each.
-const MOST: usize = 4_096;
-/// A surplus has ended when there was none for this long: a surge comes in clumps.
-const CALM: Duration = Duration::from_secs(1);
-/// What is smaller is a rounding error.
+/// The means are stored relative to an epoch, which is renewed after this time, before the numbers grow large.
+const EPOCH_INTERVAL: Duration = Duration::from_secs(30);
+/// Number of half-lives after which no weight remains.
+const MAX_HALF_LIVES: f64 = 60.0;
+/// Number of priorities that are distinguished: 0 to 9.
+const PRIORITIES: usize = 10;
+/// The account of a customer that neither runs nor waits is removed once its mean use is below this many slots.
+const IDLE_SLOTS: f64 = 0.02;
+/// Maximum number of accounts; further customers share one account. An account takes some 150 bytes.
+const MAX_ACCOUNTS: usize = 4_096;
+/// Time without a surplus after which it is reported as ended, since the requests of a burst arrive in clusters.
+const SURPLUS_END_DELAY: Duration = Duration::from_secs(1);
+/// Smaller differences are rounding errors.
 const EPSILON: f64 = 1e-9;
 
-/// By what customers are told apart where requests wait (docs/design/shares.md compares them).
+/// The measure by which customers are ranked while requests wait (docs/design/shares.md compares the measures).
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Measure {
-    /// Not at all: the request's rank and its wait decide.
+    /// Customers aren't ranked: the priority of a request and its wait decide.
     Rank,
-    /// By the places that they hold now.
+    /// Customers are ranked by the slots that they hold now.
     Places,
-    /// By the time that they held places in the last seconds.
+    /// Customers are ranked by the time for which they held slots in the last seconds.
     Work,
-    /// By both, each counting half.
+    /// Customers are ranked by the mean of both.
     #[default]
     Both,
 }
 
-/// A customer's account, as long as it waits or runs something.
+/// The index of a customer's account, valid while the customer waits or runs requests.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Number(usize);
+pub struct AccountId(usize);
 
-/// How a customer stands at one moment.
+/// The use and the share of a customer at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    /// Places that it holds.
+pub struct Usage {
+    /// Slots that the customer holds.
     pub running: f64,
-    /// The places that it has by the measure, for a weight of one.
+    /// The customer's use by the measure, divided by its weight.
     pub score: f64,
-    /// The score of one more place.
+    /// The increase of the score by one more slot.
     pub step: f64,
-    /// The places that it may hold while others wait.
+    /// The slots that the customer may hold while others wait.
     pub share: f64,
 }
 
-impl Standing {
-    /// Whether it would hold more than its share with so many places more. One place isn't too much for anybody.
+impl Usage {
+    /// Whether the customer would exceed its share with `more` additional slots. Every customer may hold one slot.
     #[must_use]
     pub fn is_over(&self, more: f64) -> bool {
         self.running + more > self.share.max(1.0) + EPSILON
     }
 }
 
-/// How much one customer had served, and how often it had to wait or was refused.
+/// The numbers of requests of a customer that were served, waited or were refused.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Requests that were given a place.
+    /// Requests that were given a slot.
     pub served: u64,
-    /// Requests that waited for one.
+    /// Requests that waited for a slot.
     pub waited: u64,
-    /// Requests that were refused, since they would have waited for too long.
+    /// Requests that were refused because their wait would have been too long.
     pub refused: u64,
 }
 
@@ -87,8 +88,8 @@
     }
 }
 
-/// What became of the means since an epoch: what ran at a moment counts by this, so that no account need be looked at for time
-/// to pass.
+/// The remaining weight of use at the epoch. Use at a later moment is stored divided by its fade, so that no account
+/// has to be updated as time passes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fade(f64);
 
@@ -97,15 +98,15 @@
     customer: Option<id::Customer>,
     weight: Weight,
     running: u32,
-    /// Requests that wait, by rank.
-    waiting: [u32; RANKS],
-    waits: u32,
-    /// By how much the mean of what ran is more than what runs, at the epoch. It falls by half in each half-life.
+    /// Requests that wait, by priority.
+    waiting: [u32; PRIORITIES],
+    waiting_count: u32,
+    /// By how much the mean use exceeded the running requests, relative to the epoch. It halves with each half-life.
     excess: f64,
     counts: Counts,
-    /// When it wanted more than its share last, if that was told and its end wasn't.
-    above: Option<Moment>,
-    /// Its place among those that run something or wait.
+    /// When the customer's demand last exceeded its share, if that was reported and its end wasn't.
+    last_surplus: Option<Moment>,
+    /// The index in the list of active accounts.
     active: Option<usize>,
 }
 
@@ -114,38 +115,38 @@
         (f64::from(self.running) + self.excess * fade.0).max(0.0)
     }
 
-    /// Lets so many requests run; the mean doesn't jump.
-    fn run(&mut self, running: u32, fade: Fade) {
+    /// Sets the number of running requests; the mean doesn't jump.
+    fn set_running(&mut self, running: u32, fade: Fade) {
         self.excess += (f64::from(self.running) - f64::from(running)) / fade.0;
         self.running = running;
     }
 
-    /// The places that it would use if there were enough. What it had lately is no part of it: the greater of both would be
-    /// too much for each of many small customers, and take from the level what nobody wants.
-    fn wants(&self) -> u32 {
-        self.running + self.waits
+    /// Returns the slots that the customer would use if there were enough. Past use isn't included: the greater of both
+    /// would be too much for each of many small customers, and would reduce the level by slots that nobody uses.
+    fn demand(&self) -> u32 {
+        self.running + self.waiting_count
     }
 }
 
-/// A customer that waits.
+/// The waiting requests of a customer.
 #[derive(Clone, Copy, Debug)]
 pub struct Queue<'a> {
-    /// Its account.
-    pub number: Number,
-    /// How many of its requests wait, by rank.
+    /// The customer's account.
+    pub number: AccountId,
+    /// The number of waiting requests by priority.
     pub waiting: &'a [u32],
 }
 
-/// A customer wants more than its share while requests wait, or no longer.
+/// A notification that a customer's demand exceeds its share while requests wait, or no longer does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Surplus {
-    /// Whose requests; `None` for those without a customer.
+    /// The customer; `None` for requests without a customer.
     pub customer: Option<id::Customer>,
-    /// Places that it holds.
+    /// Slots that the customer holds.
     pub running: u32,
-    /// The places of its share.
+    /// The customer's share in slots.
     pub share: f64,
-    /// Whether it is above it now.
+    /// Whether the demand exceeds the share now.
     pub is_above: bool,
 }
 
@@ -154,23 +155,23 @@
 pub struct Shares {
     measure: Measure,
     accounts: Vec<Option<Account>>,
-    numbers: RapidHashMap<id::Customer, Number>,
+    numbers: RapidHashMap<id::Customer, AccountId>,
     /// The account of requests without a customer.
-    nameless: Option<Number>,
-    free: Vec<Number>,
-    /// Those that run something or wait.
-    active: Vec<Number>,
-    running: RapidHashMap<id::Attempt, Number>,
+    anonymous: Option<AccountId>,
+    free: Vec<AccountId>,
+    /// The accounts that run requests or wait.
+    active: Vec<AccountId>,
+    running: RapidHashMap<id::Attempt, AccountId>,
     weights: RapidHashMap<id::Customer, Weight>,
-    /// Where those are counted that there is no room for.
-    crowd: Option<Number>,
-    /// What was counted for customers that are forgotten.
-    others: Counts,
+    /// The account that customers share once the maximum number of accounts is reached.
+    shared_account: Option<AccountId>,
+    /// The counts of customers whose accounts were removed.
+    removed_counts: Counts,
     epoch: Moment,
 }
 
 impl Shares {
-    /// Tells customers apart by another measure, as a comparison.
+    /// Ranks customers by another measure; used for comparisons.
     #[must_use]
     pub fn with_measure(mut self, measure: Measure) -> Self {
         self.measure = measure;
@@ -189,60 +190,61 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// Customers that are told apart now.
+    /// Returns the number of accounts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len() - self.free.len()
     }
 
-    /// Whether nobody has an account.
+    /// Whether there are no accounts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Requests that run, of all customers.
+    /// Returns the number of running requests of all customers.
     #[must_use]
     pub fn running(&self) -> u32 {
-        self.live().map(|account| account.running).sum()
+        self.accounts_in_use().map(|account| account.running).sum()
     }
 
-    /// Requests that wait, of all customers.
+    /// Returns the number of waiting requests of all customers.
     #[must_use]
     pub fn waiting(&self) -> u32 {
-        self.live().map(|account| account.waits).sum()
+        self.accounts_in_use().map(|account| account.waiting_count).sum()
     }
 
-    /// The customers that wait.
+    /// Iterates over the customers with waiting requests.
     pub fn queues(&self) -> impl Iterator<Item = Queue<'_>> {
-        let waiting = self.active().filter(|(_, account)| account.waits > 0);
+        let waiting = self.active().filter(|(_, account)| account.waiting_count > 0);
         waiting.map(|(number, account)| Queue { number, waiting: &account.waiting })
     }
 
-    /// How much of what ran at the epoch still counts.
+    /// Returns the remaining weight of use at the epoch.
     #[must_use]
     pub fn fade(&self, now: Moment) -> Fade {
-        let lives = now.since(self.epoch).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        // A process that stood still for long hasn't moved the epoch on yet; nothing of then counts.
-        Fade(0.5_f64.powf(lives.min(LIVES)))
+        let half_lives = now.since(self.epoch).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        // A process that was suspended for long hasn't renewed the epoch yet; nothing remains of the use before.
+        Fade(0.5_f64.powf(half_lives.min(MAX_HALF_LIVES)))
     }
 
-    /// What each customer of a weight of one may hold, if all of `places` are to be used and nobody is given more than it
-    /// wants (max-min fairness). Infinite where all get what they want.
+    /// Returns the slots that each customer with a weight of one may hold if all `slots` slots are to be used and no
+    /// customer is given more than its demand (max-min fairness). Infinite if all demands can be met.
     #[must_use]
-    pub fn level(&self, places: u32) -> f64 {
-        let wants = || self.active().map(|(_, account)| (f64::from(account.wants()), account.weight.get()));
-        let places = f64::from(places);
-        if wants().map(|(want, _)| want).sum::<f64>() <= places {
+    pub fn level(&self, slots: u32) -> f64 {
+        let demand = || self.active().map(|(_, account)| (f64::from(account.demand()), account.weight.get()));
+        let slots = f64::from(slots);
+        if demand().map(|(demand, _)| demand).sum::<f64>() <= slots {
             return f64::INFINITY;
         }
-        // What those leave who want less raises the level, so that some more want less: a few rounds, without sorting.
+        // Slots that are left by customers with small demands raise the level, which meets more demands; it converges
+        // in a few rounds, without sorting.
         let mut level = 0.0;
         loop {
-            let (mut left, mut weights) = (places, 0.0);
-            for (want, weight) in wants() {
-                if want <= level * weight {
-                    left -= want;
+            let (mut left, mut weights) = (slots, 0.0);
+            for (demand, weight) in demand() {
+                if demand <= level * weight {
+                    left -= demand;
                 } else {
                     weights += weight;
                 }
@@ -255,29 +257,31 @@
         }
     }
 
-    /// How a customer stands at a level.
+    /// Returns a customer's use and share at a level.
     #[must_use]
-    pub fn standing(&self, fade: Fade, number: Number, level: f64) -> Standing {
-        let nobody = Standing { running: 0.0, score: 0.0, step: 1.0, share: level };
+    pub fn usage(&self, fade: Fade, number: AccountId, level: f64) -> Usage {
+        let nobody = Usage { running: 0.0, score: 0.0, step: 1.0, share: level };
         let Some(account) = self.accounts.get(number.0).and_then(Option::as_ref) else {
             return nobody;
         };
         let running = f64::from(account.running);
-        let (places, step) = match self.measure {
-            Measure::Rank => return Standing { share: f64::INFINITY, step: 0.0, ..nobody },
+        let (slots, step) = match self.measure {
+            Measure::Rank => return Usage { share: f64::INFINITY, step: 0.0, ..nobody },
             Measure::Places => (running, 1.0),
             Measure::Work => (account.mean(fade), 0.0),
             Measure::Both => (f64::midpoint(running, account.mean(fade)), 0.5),
         };
         let weight = account.weight.get();
-        Standing { running, score: places / weight, step: step / weight, share: level * weight }
+        Usage { running, score: slots / weight, step: step / weight, share: level * weight }
     }
 
-    /// What was counted for the largest customers, the largest first, and for all others together.
+    /// Returns the counts of the `most` customers with the most served requests, in descending order, and the sum of
+    /// all others.
     #[must_use]
     pub fn counts(&self, most: usize) -> (Vec<(Option<id::Customer>, Counts)>, Counts) {
-        let mut others = self.others;
-        let mut known: Vec<_> = self.live().map(|account| (account.customer.clone(), account.counts)).collect();
+        let mut others = self.removed_counts;
+        let mut known: Vec<_> =
+            self.accounts_in_use().map(|account| (account.customer.clone(), account.counts)).collect();
         known.sort_by(|a, b| (b.1.served, &a.0).cmp(&(a.1.served, &b.0)));
         for (_, counts) in known.drain(known.len().min(most)..) {
             others.add(counts);
@@ -288,46 +292,46 @@
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// The account of a customer, which is opened if there is none.
-    pub fn open(&mut self, customer: Option<&id::Customer>) -> Number {
-        let known = customer.map_or(self.nameless, |customer| self.numbers.get(customer).copied());
+    /// Returns the account of a customer, which is created if there is none.
+    pub fn open(&mut self, customer: Option<&id::Customer>) -> AccountId {
+        let known = customer.map_or(self.anonymous, |customer| self.numbers.get(customer).copied());
         if let Some(number) = known {
             return number;
         }
-        if self.len() >= MOST
-            && let Some(crowd) = self.crowd
+        if self.len() >= MAX_ACCOUNTS
+            && let Some(shared_account) = self.shared_account
         {
-            return crowd;
+            return shared_account;
         }
         let weight = customer.and_then(|customer| self.weights.get(customer)).copied();
         let account = Account {
             customer: customer.cloned(),
             weight: weight.unwrap_or(Weight::ONE),
             running: 0,
-            waiting: [0; RANKS],
-            waits: 0,
+            waiting: [0; PRIORITIES],
+            waiting_count: 0,
             excess: 0.0,
             counts: Counts::default(),
-            above: None,
+            last_surplus: None,
             active: None,
         };
-        let number = self.free.pop().unwrap_or(Number(self.accounts.len()));
+        let number = self.free.pop().unwrap_or(AccountId(self.accounts.len()));
         if number.0 == self.accounts.len() {
             self.accounts.push(None);
         }
         self.accounts[number.0] = Some(account);
-        if self.len() >= MOST {
-            // The last one is everybody's from now on.
-            self.crowd = Some(number);
+        if self.len() >= MAX_ACCOUNTS {
+            // Further customers share the last account that could be created.
+            self.shared_account = Some(number);
         }
         match customer {
             Some(customer) => drop(self.numbers.insert(customer.clone(), number)),
-            None => self.nameless = Some(number),
+            None => self.anonymous = Some(number),
         }
         number
     }
 
-    /// A request of a customer runs from now on.
+    /// Records that a request of a customer starts to run.
     pub fn start(&mut self, now: Moment, attempt: id::Attempt, customer: Option<&id::Customer>) {
         let number = self.open(customer);
         let fade = self.fade(now);
@@ -335,80 +339,81 @@
             self.stop(fade, before);
         }
         self.change(number, |account| {
-            account.run(account.running + 1, fade);
+            account.set_running(account.running + 1, fade);
             account.counts.served += 1;
         });
     }
 
-    /// A request no longer runs.
+    /// Records that a request no longer runs.
     pub fn end(&mut self, now: Moment, attempt: id::Attempt) {
         if let Some(number) = self.running.remove(&attempt) {
             self.stop(self.fade(now), number);
         }
     }
 
-    fn stop(&mut self, fade: Fade, number: Number) {
-        self.change(number, |account| account.run(account.running.saturating_sub(1), fade));
+    fn stop(&mut self, fade: Fade, number: AccountId) {
+        self.change(number, |account| account.set_running(account.running.saturating_sub(1), fade));
     }
 
-    /// A request of a customer waits.
-    pub fn wait(&mut self, number: Number, priority: u8) {
+    /// Records that a request of a customer starts to wait.
+    pub fn wait(&mut self, number: AccountId, priority: u8) {
         self.change(number, |account| {
-            account.waiting[rank(priority)] += 1;
-            account.waits += 1;
+            account.waiting[priority_index(priority)] += 1;
+            account.waiting_count += 1;
             account.counts.waited += 1;
         });
     }
 
-    /// A request that waited does so no longer.
-    pub fn end_wait(&mut self, number: Number, priority: u8) {
+    /// Records that a request no longer waits.
+    pub fn end_wait(&mut self, number: AccountId, priority: u8) {
         self.change(number, |account| {
-            let waiting = &mut account.waiting[rank(priority)];
+            let waiting = &mut account.waiting[priority_index(priority)];
             *waiting = waiting.saturating_sub(1);
-            account.waits = account.waiting.iter().sum();
+            account.waiting_count = account.waiting.iter().sum();
         });
     }
 
-    /// A request was refused.
-    pub fn refuse(&mut self, number: Number) {
+    /// Records that a request was refused.
+    pub fn refuse(&mut self, number: AccountId) {
         self.change(number, |account| account.counts.refused += 1);
     }
 
-    /// Forgets customers that want nothing.
+    /// Removes the accounts of idle customers, and renews the epoch.
     pub fn age(&mut self, now: Moment) {
         let fade = self.fade(now);
-        for (place, slot) in self.accounts.iter_mut().enumerate() {
+        for (index, slot) in self.accounts.iter_mut().enumerate() {
             let idle = |account: &mut Account| {
-                account.active.is_none() && account.mean(fade) < IDLE && account.above.is_none()
+                account.active.is_none() && account.mean(fade) < IDLE_SLOTS && account.last_surplus.is_none()
             };
             if let Some(account) = slot.take_if(idle) {
-                self.others.add(account.counts);
+                self.removed_counts.add(account.counts);
                 match account.customer {
                     Some(customer) => drop(self.numbers.remove(&customer)),
-                    None => self.nameless = None,
+                    None => self.anonymous = None,
                 }
-                self.free.push(Number(place));
-                self.crowd.take_if(|crowd| crowd.0 == place);
+                self.free.push(AccountId(index));
+                self.shared_account.take_if(|shared_account| shared_account.0 == index);
             }
         }
-        if now.since(self.epoch) >= EPOCH {
+        if now.since(self.epoch) >= EPOCH_INTERVAL {
             self.accounts.iter_mut().flatten().for_each(|account| account.excess *= fade.0);
             self.epoch = now;
         }
     }
 
-    /// Who wants more than its share since this was asked last, and who hasn't for a while.
+    /// Returns the customers whose demand rose above their share since the last call, and those whose demand hasn't
+    /// exceeded it for a second.
     pub fn surpluses(&mut self, now: Moment, level: f64) -> Vec<Surplus> {
         let mut changed = Vec::new();
         for account in self.accounts.iter_mut().flatten() {
             let share = level * account.weight.get();
-            let is_above = f64::from(account.wants()) > share.max(1.0) + EPSILON;
-            let ended = account.above.is_some_and(|last| now.since(last) >= CALM) && !is_above;
-            let began = is_above && account.above.is_none();
+            let is_above = f64::from(account.demand()) > share.max(1.0) + EPSILON;
+            let ended = account.last_surplus.is_some_and(|last| now.since(last) >= SURPLUS_END_DELAY) && !is_above;
+            let began = is_above && account.last_surplus.is_none();
             if is_above {
-                account.above = Some(now);
+                account.last_surplus = Some(now);
             } else if ended {
-                account.above = None;
+                account.last_surplus = None;
             }
             if began || ended {
                 let (customer, running) = (account.customer.clone(), account.running);
@@ -420,30 +425,30 @@
 
     // ------------------------------------------------------------------------
 
-    fn live(&self) -> impl Iterator<Item = &Account> {
+    fn accounts_in_use(&self) -> impl Iterator<Item = &Account> {
         self.accounts.iter().flatten()
     }
 
-    fn active(&self) -> impl Iterator<Item = (Number, &Account)> {
+    fn active(&self) -> impl Iterator<Item = (AccountId, &Account)> {
         self.active.iter().filter_map(|number| Some((*number, self.accounts.get(number.0)?.as_ref()?)))
     }
 
-    fn change(&mut self, number: Number, change: impl FnOnce(&mut Account)) {
+    fn change(&mut self, number: AccountId, change: impl FnOnce(&mut Account)) {
         let Some(account) = self.accounts.get_mut(number.0).and_then(Option::as_mut) else {
             return;
         };
         change(account);
-        match (account.wants() > 0, account.active) {
+        match (account.demand() > 0, account.active) {
             (true, None) => {
                 account.active = Some(self.active.len());
                 self.active.push(number);
             }
-            (false, Some(place)) => {
+            (false, Some(index)) => {
                 account.active = None;
-                self.active.swap_remove(place);
-                let moved = self.active.get(place).and_then(|moved| self.accounts.get_mut(moved.0)?.as_mut());
+                self.active.swap_remove(index);
+                let moved = self.active.get(index).and_then(|moved| self.accounts.get_mut(moved.0)?.as_mut());
                 if let Some(moved) = moved {
-                    moved.active = Some(place);
+                    moved.active = Some(index);
                 }
             }
             (true, Some(_)) | (false, None) => {}
@@ -451,6 +456,6 @@
     }
 }
 
-fn rank(priority: u8) -> usize {
-    usize::from(priority).min(RANKS - 1)
+fn priority_index(priority: u8) -> usize {
+    usize::from(priority).min(PRIORITIES - 1)
 }
--- a/crates/stairvale-dispatch/src/suspects.rs
+++ b/crates/stairvale-dispatch/src/suspects.rs
@@ -1,9 +1,10 @@
-//! Requests that upstreams end under, and which of them are the cause.
+//! Requests under which upstreams crashed, and detection of those that cause the crashes.
 //!
-//! Each upstream that ends takes all that runs there with it, so an end alone accuses many. A request is found to be the cause
-//! when upstreams ended under it again and again, it never ended well in between, and so many ends under one request can't be
-//! put down to upstreams that end anyway: those that ended without it say how often that is. Of several requests that the same
-//! ends accuse none is found; they are placed apart, so that the next end tells.
+//! Each upstream that crashes takes all its running requests with it, so a single crash makes many requests suspects. A
+//! request is found to be the cause when upstreams crashed under it several times without it being served in between,
+//! and so many crashes under one request can't be explained by the upstreams' usual crash rate, which follows from the
+//! crashes without the request. Of several requests with the same crashes none is found; they are placed apart, so that
+//! the next crash distinguishes them.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,276 +12,292 @@
 use serde::{Deserialize, Serialize};
 use stairvale_types::{Moment, id};
 
-/// Ends under one request that are needed at least: fewer say too little, whatever else ends.
+/// Minimum number of crashes under one request for it to be found: fewer aren't conclusive, whatever the crash rate is.
 pub const LEAST: usize = 3;
-/// Ends under one request in a row that need no comparison. A request that is innocent would have to be sent this often, to an
-/// upstream that ends by itself each time; what is the cause ends two more upstreams than it must where many end anyway.
+/// Number of crashes under one request in a row that need no comparison with the crash rate. A harmless request would
+/// have to be sent this often, to an upstream that crashes for another reason each time. A cause crashes up to two more
+/// upstreams than necessary where the crash rate is high.
 pub const MOST: usize = 5;
-/// A request is found to be the cause when one that isn't would meet as many ends as often as this. Of ten thousand requests, each
-/// sent up to three times while half of the upstreams end by themselves every 2 to 20 seconds, none was found; the cause was
-/// after five ends (`tests/suspects.rs`).
-const CHANCE: f64 = 1e-6;
-/// Upstreams differ, and those that are busy end more often: the mean of all is taken this many times.
-const MARGIN: f64 = 4.0;
-/// How often an upstream ends by itself in a second where nothing is known: once an hour.
-const USUAL: f64 = 1.0 / 3_600.0;
-/// What ended longer ago says nothing of how often upstreams end now.
-const WINDOW: Duration = Duration::from_secs(60);
-/// No run counts as shorter: a request that reaches a connection just after its upstream ended meets that end at once.
-const SHORTEST: Duration = Duration::from_millis(250);
-/// Entries tell of an end one after the other; so long after the first all have: some round trips between zones.
-const SETTLED: Duration = Duration::from_millis(100);
-/// What was served before an upstream ended is told later than that by less: some round trips, and a small VM's pause.
-const LATE: Duration = Duration::from_millis(300);
-/// What is told of an upstream's end this long after the first word of it is about the same end.
-const SAME: Duration = Duration::from_secs(2);
-/// A request is forgotten that no upstream has ended under for so long.
-const MEMORY: Duration = Duration::from_secs(1_200);
-/// Requests that are remembered: some times what runs at the upstreams of a service that end within a few minutes. Whoever
-/// sends ever new ones only drives out those that fewer upstreams have ended under.
-const CAPACITY: usize = 4_096;
+/// A request is found to be the cause when a harmless request would meet as many crashes with this probability at most.
+/// Of ten thousand requests, each sent up to three times while half of the upstreams crash for other reasons every 2 to
+/// 20 seconds, none was found; the cause was found after five crashes (`tests/suspects.rs`).
+const MAX_CHANCE: f64 = 1e-6;
+/// Factor on the mean crash rate, since upstreams differ, and busy ones crash more often.
+const CRASH_RATE_FACTOR: f64 = 4.0;
+/// Crash rate per second that is assumed in addition to the observed crashes: one per hour.
+const BASE_CRASHES_PER_SECOND: f64 = 1.0 / 3_600.0;
+/// Older crashes don't count for the current crash rate.
+const CRASH_RATE_WINDOW: Duration = Duration::from_secs(60);
+/// Lower limit of a run's time: a request that reaches a connection just after its upstream crashed fails at once.
+const MIN_RUN: Duration = Duration::from_millis(250);
+/// Entry routers report a crash one after the other; within this time after the first report all have: some round trips
+/// between zones.
+const REPORT_DELAY: Duration = Duration::from_millis(100);
+/// A request that was served before its upstream crashed is reported less than this later than the crash: some round
+/// trips, and the pause of a small VM.
+const MAX_SERVED_DELAY: Duration = Duration::from_millis(300);
+/// Reports of a crash of the same upstream within this time after the first one concern the same crash.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(2);
+/// A request is removed when no upstream has crashed under it for this time.
+const SUSPECT_TTL: Duration = Duration::from_secs(1_200);
+/// Maximum number of suspects: several times the requests that run at the upstreams of a service that crash within a
+/// few minutes. A client that keeps sending new requests only displaces suspects with fewer crashes.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// What became of a request, as far as it says whether upstreams end because of it.
+/// The outcome of a request, as far as it shows whether upstreams crash because of the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// An upstream ended while it ran there.
+    /// An upstream crashed while it ran the request.
     Ended {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: id::Fingerprint,
-        /// The upstream.
+        /// The upstream that crashed.
         upstream: id::Upstream,
-        /// How long it had run.
+        /// How long the request had run.
         ran: Duration,
     },
-    /// It ended well.
+    /// The request was served.
     Served {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: id::Fingerprint,
     },
-    /// It was found to be the cause of earlier ends.
+    /// The request was found to be the cause of earlier crashes.
     Found {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: id::Fingerprint,
     },
 }
 
-/// The end of an upstream.
+/// The crash of an upstream.
 #[derive(Clone, Debug)]
-struct End {
+struct Crash {
     number: u64,
     upstream: id::Upstream,
     at: Moment,
 }
 
-/// A run of a request that its upstream ended under.
+/// A run of a request during which its upstream crashed.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    end: u64,
+    crash: u64,
     ran: Duration,
 }
 
-/// A request that upstreams ended under since it ended well.
+/// A request under which upstreams crashed since it was last served.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     runs: Vec<Run>,
     last: Moment,
-    /// Whether it was found to be the cause before, so that one more end says enough.
+    /// Whether the request was found to be the cause before, so that one more crash is conclusive.
     was_found: bool,
-    /// How many of the runs it was judged by.
-    judged: usize,
+    /// The number of runs at the last judgement.
+    judged_runs: usize,
 }
 
-/// Requests of a service that upstreams ended under.
+/// The requests of a service under which upstreams crashed.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    known: RapidHashMap<id::Fingerprint, Suspect>,
-    /// Ends within the window, the earliest first.
-    ends: VecDeque<End>,
-    number: u64,
-    /// Since when ends are counted.
-    began: Option<Moment>,
+    suspects: RapidHashMap<id::Fingerprint, Suspect>,
+    /// The crashes within the window, the earliest first.
+    crashes: VecDeque<Crash>,
+    last_number: u64,
+    /// The moment from which on crashes are counted.
+    counting_since: Option<Moment>,
 }
 
 impl Suspects {
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// How many upstreams have ended under a request since it ended well.
+    /// Returns how many upstreams have crashed under a request since it was last served.
     #[must_use]
     pub fn ends(&self, fingerprint: id::Fingerprint) -> usize {
-        self.known.get(&fingerprint).map_or(0, |suspect| suspect.runs.len())
+        self.suspects.get(&fingerprint).map_or(0, |suspect| suspect.runs.len())
     }
 
-    /// Whether nothing is suspected.
+    /// Whether there are no suspects.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.suspects.is_empty()
     }
 
-    /// How many requests are remembered.
+    /// Returns the number of suspects.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.suspects.len()
     }
 
-    /// Whether a request may be found to be the cause in a moment, so that it is to wait for that.
+    /// Whether a request may be found to be the cause shortly, so that it has to wait for the judgement.
     #[must_use]
     pub fn is_pending(&self, fingerprint: id::Fingerprint) -> bool {
-        self.known.get(&fingerprint).is_some_and(Suspect::is_pending)
+        self.suspects.get(&fingerprint).is_some_and(Suspect::is_pending)
     }
 
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// Takes what became of a request; whether that says anything new.
+    /// Records the outcome of a request; returns whether it is new.
     pub fn learn(&mut self, now: Moment, evidence: &Evidence) -> bool {
         match evidence {
-            Evidence::Ended { fingerprint, upstream, ran } => self.ended(now, *fingerprint, upstream, *ran),
-            Evidence::Served { fingerprint } => self.known.remove(fingerprint).is_some(),
+            Evidence::Ended { fingerprint, upstream, ran } => self.record_crash(now, *fingerprint, upstream, *ran),
+            Evidence::Served { fingerprint } => self.suspects.remove(fingerprint).is_some(),
             Evidence::Found { fingerprint } => {
-                let suspect = self.known.entry(*fingerprint).or_default();
+                let suspect = self.suspects.entry(*fingerprint).or_default();
                 suspect.last = now;
                 !std::mem::replace(&mut suspect.was_found, true)
             }
         }
     }
 
-    fn ended(&mut self, now: Moment, fingerprint: id::Fingerprint, upstream: &id::Upstream, ran: Duration) -> bool {
-        let end = self.end(now, upstream);
-        let suspect = self.known.entry(fingerprint).or_default();
-        if suspect.runs.iter().any(|run| run.end == end) {
+    fn record_crash(
+        &mut self,
+        now: Moment,
+        fingerprint: id::Fingerprint,
+        upstream: &id::Upstream,
+        ran: Duration,
+    ) -> bool {
+        let crash = self.crash_number(now, upstream);
+        let suspect = self.suspects.entry(fingerprint).or_default();
+        if suspect.runs.iter().any(|run| run.crash == crash) {
             return false;
         }
-        suspect.runs.push(Run { end, ran });
+        suspect.runs.push(Run { crash, ran });
         suspect.last = now;
-        if self.known.len() > CAPACITY {
-            self.drop_least(fingerprint);
+        if self.suspects.len() > MAX_SUSPECTS {
+            self.evict_weakest(fingerprint);
         }
         true
     }
 
-    /// The number of an upstream's end, which may have been told before.
-    fn end(&mut self, now: Moment, upstream: &id::Upstream) -> u64 {
-        let told = self.ends.iter().rev().find(|end| &end.upstream == upstream && now.since(end.at) < SAME);
-        if let Some(end) = told {
-            return end.number;
+    /// Returns the number of an upstream's crash, which may have been reported before.
+    fn crash_number(&mut self, now: Moment, upstream: &id::Upstream) -> u64 {
+        let reported = self
+            .crashes
+            .iter()
+            .rev()
+            .find(|crash| &crash.upstream == upstream && now.since(crash.at) < SAME_CRASH_WINDOW);
+        if let Some(crash) = reported {
+            return crash.number;
         }
-        self.number += 1;
-        self.ends.push_back(End { number: self.number, upstream: upstream.clone(), at: now });
-        self.number
+        self.last_number += 1;
+        self.crashes.push_back(Crash { number: self.last_number, upstream: upstream.clone(), at: now });
+        self.last_number
     }
 
-    /// Forgets the request that least is known of, but for a new one.
-    fn drop_least(&mut self, new: id::Fingerprint) {
-        let others = self.known.iter().filter(|(fingerprint, _)| **fingerprint != new);
-        let least = others.min_by_key(|(_, suspect)| (suspect.was_found, suspect.runs.len(), suspect.last));
-        if let Some(least) = least.map(|(fingerprint, _)| *fingerprint) {
-            self.known.remove(&least);
+    /// Removes the suspect with the least evidence, except for a new one.
+    fn evict_weakest(&mut self, new: id::Fingerprint) {
+        let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != new);
+        let weakest = others.min_by_key(|(_, suspect)| (suspect.was_found, suspect.runs.len(), suspect.last));
+        if let Some(weakest) = weakest.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&weakest);
         }
     }
 
-    /// An upstream answered a request that was given to it at `since`: what was taken for its end meanwhile was none, as where
-    /// only the way to it had ended.
+    /// Records that an upstream answered a request that was given to it at `since`: a crash that was recorded meanwhile
+    /// was none, as where only the connection to the upstream was lost.
     pub fn answered(&mut self, now: Moment, upstream: &id::Upstream, since: Moment) {
-        let within = |end: &End| end.at >= since && now.since(end.at) >= LATE;
-        let Some(index) = self.ends.iter().position(|end| &end.upstream == upstream && within(end)) else {
+        let within = |crash: &Crash| crash.at >= since && now.since(crash.at) >= MAX_SERVED_DELAY;
+        let Some(index) = self.crashes.iter().position(|crash| &crash.upstream == upstream && within(crash)) else {
             return;
         };
-        if let Some(end) = self.ends.remove(index) {
-            self.dismiss(&[end.number]);
+        if let Some(crash) = self.crashes.remove(index) {
+            self.dismiss(&[crash.number]);
         }
     }
 
-    /// Finds the causes among those that upstreams have just ended under, where so many upstreams serve.
+    /// Returns the requests that were found to be the cause, among those with recent crashes; `upstreams` is the number
+    /// of serving upstreams.
     pub fn judge(&mut self, now: Moment, upstreams: usize) -> Vec<id::Fingerprint> {
-        let began = *self.began.get_or_insert(now);
-        if self.known.is_empty() {
+        let counting_since = *self.counting_since.get_or_insert(now);
+        if self.suspects.is_empty() {
             return Vec::new();
         }
-        let due = |suspect: &Suspect| suspect.is_pending() && now.since(suspect.last) >= SETTLED;
-        let due: Vec<_> = self.known.iter().filter(|(_, suspect)| due(suspect)).map(|(known, _)| *known).collect();
-        let span = now.since(began).clamp(Duration::from_secs(1), WINDOW);
+        let due = |suspect: &Suspect| suspect.is_pending() && now.since(suspect.last) >= REPORT_DELAY;
+        let due: Vec<_> =
+            self.suspects.iter().filter(|(_, suspect)| due(suspect)).map(|(fingerprint, _)| *fingerprint).collect();
+        let span = now.since(counting_since).clamp(Duration::from_secs(1), CRASH_RATE_WINDOW);
         let exposure = span.as_secs_f64() * f64::from(u32::try_from(upstreams.max(1)).unwrap_or(u32::MAX));
-        let found: Vec<_> = due.iter().copied().filter(|suspect| self.is_cause(*suspect, exposure)).collect();
+        let causes: Vec<_> = due.iter().copied().filter(|suspect| self.is_cause(*suspect, exposure)).collect();
         for fingerprint in due {
-            if let Some(suspect) = self.known.get_mut(&fingerprint) {
-                suspect.judged = suspect.runs.len();
+            if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
+                suspect.judged_runs = suspect.runs.len();
             }
         }
-        for fingerprint in &found {
-            self.explain(*fingerprint);
+        for fingerprint in &causes {
+            self.dismiss_crashes_of(*fingerprint);
         }
-        // Not before: who stood still for a while judges by what there was when the last ends were told.
-        self.forget(now);
-        found
+        // Old crashes are removed only after the judgement, so that a router that was suspended judges by the crashes
+        // that were present when the last ones were reported.
+        self.remove_old(now);
+        causes
     }
 
-    /// What a cause that was found explains accuses nobody else.
-    fn explain(&mut self, cause: id::Fingerprint) {
-        let Some(mut suspect) = self.known.remove(&cause) else {
+    /// Removes the crashes of a cause from the evidence against all other requests.
+    fn dismiss_crashes_of(&mut self, cause: id::Fingerprint) {
+        let Some(mut suspect) = self.suspects.remove(&cause) else {
             return;
         };
         suspect.was_found = true;
-        let ends: Vec<_> = suspect.runs.iter().map(|run| run.end).collect();
-        self.dismiss(&ends);
-        self.ends.retain(|end| !ends.contains(&end.number));
-        self.known.insert(cause, suspect);
+        let crashes: Vec<_> = suspect.runs.iter().map(|run| run.crash).collect();
+        self.dismiss(&crashes);
+        self.crashes.retain(|crash| !crashes.contains(&crash.number));
+        self.suspects.insert(cause, suspect);
     }
 
-    fn dismiss(&mut self, ends: &[u64]) {
-        self.known.retain(|_, suspect| {
-            suspect.runs.retain(|run| !ends.contains(&run.end));
-            suspect.judged = suspect.judged.min(suspect.runs.len());
+    fn dismiss(&mut self, crashes: &[u64]) {
+        self.suspects.retain(|_, suspect| {
+            suspect.runs.retain(|run| !crashes.contains(&run.crash));
+            suspect.judged_runs = suspect.judged_runs.min(suspect.runs.len());
             !suspect.runs.is_empty() || suspect.was_found
         });
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.known.retain(|_, suspect| now.since(suspect.last) < MEMORY);
-        while self.ends.front().is_some_and(|end| now.since(end.at) >= WINDOW) {
-            self.ends.pop_front();
+    fn remove_old(&mut self, now: Moment) {
+        self.suspects.retain(|_, suspect| now.since(suspect.last) < SUSPECT_TTL);
+        while self.crashes.front().is_some_and(|crash| now.since(crash.at) >= CRASH_RATE_WINDOW) {
+            self.crashes.pop_front();
         }
     }
 
     // ------------------------------------------------------------------------
 
-    /// Whether the ends under a request are its own doing; `exposure` is the time in which others were seen, summed over
-    /// upstreams, in seconds.
+    /// Whether a request is the cause of the crashes under it; `exposure` is the time over which crashes were counted,
+    /// summed over upstreams, in seconds.
     fn is_cause(&self, fingerprint: id::Fingerprint, exposure: f64) -> bool {
-        let Some(suspect) = self.known.get(&fingerprint) else {
+        let Some(suspect) = self.suspects.get(&fingerprint) else {
             return false;
         };
         if suspect.was_found {
             return true;
         }
-        if self.is_shared(fingerprint, suspect) {
+        if self.is_indistinguishable(fingerprint, suspect) {
             return false;
         }
-        suspect.runs.len() >= MOST || self.chance(suspect, exposure) <= CHANCE
+        suspect.runs.len() >= MOST || self.chance(suspect, exposure) <= MAX_CHANCE
     }
 
-    /// Whether all ends under a request accuse another one as much.
-    fn is_shared(&self, fingerprint: id::Fingerprint, suspect: &Suspect) -> bool {
-        self.known.iter().filter(|(other, _)| **other != fingerprint).any(|(_, other)| {
-            let met = |run: &Run| other.runs.iter().any(|its| its.end == run.end);
+    /// Whether another request has at least as many crashes, including all crashes under this one.
+    fn is_indistinguishable(&self, fingerprint: id::Fingerprint, suspect: &Suspect) -> bool {
+        self.suspects.iter().filter(|(other, _)| **other != fingerprint).any(|(_, other)| {
+            let met = |run: &Run| other.runs.iter().any(|its| its.crash == run.crash);
             other.runs.len() >= suspect.runs.len() && suspect.runs.iter().all(met)
         })
     }
 
-    /// How likely it is that a request which is no cause meets the ends that this one met.
+    /// Returns the probability that a harmless request meets the crashes that this one met.
     fn chance(&self, suspect: &Suspect, exposure: f64) -> f64 {
-        let own = |end: &&End| suspect.runs.iter().any(|run| run.end == end.number);
-        let others = self.ends.len() - self.ends.iter().filter(own).count();
+        let own = |crash: &&Crash| suspect.runs.iter().any(|run| run.crash == crash.number);
+        let others = self.crashes.len() - self.crashes.iter().filter(own).count();
         let others = f64::from(u32::try_from(others).unwrap_or(u32::MAX));
-        let rate = (others / exposure + USUAL) * MARGIN;
-        suspect.runs.iter().map(|run| (rate * run.ran.max(SHORTEST).as_secs_f64()).min(1.0)).product()
+        let rate = (others / exposure + BASE_CRASHES_PER_SECOND) * CRASH_RATE_FACTOR;
+        suspect.runs.iter().map(|run| (rate * run.ran.max(MIN_RUN).as_secs_f64()).min(1.0)).product()
     }
 }
 
 impl Suspect {
-    /// Whether it is to be judged by what was seen since it was judged last.
+    /// Whether there were crashes since the last judgement, and enough of them.
     fn is_pending(&self) -> bool {
         let enough = self.runs.len() >= LEAST || self.was_found;
-        enough && self.runs.len() > self.judged
+        enough && self.runs.len() > self.judged_runs
     }
 }
--- a/crates/stairvale-dispatch/src/weight.rs
+++ b/crates/stairvale-dispatch/src/weight.rs
@@ -1,41 +1,41 @@
-//! How much of a service's places a customer may have beside the others.
+//! Weights of customers in the division of a service's slots.
 
-/// How much of the places a customer may have beside the others: twice the weight, twice the places.
+/// A customer's weight: with twice the weight a customer may hold twice the slots while requests wait.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Weight(f64);
 
 impl Weight {
-    /// What a customer has that nothing is said of.
+    /// The weight of a customer for which none is configured.
     pub const ONE: Self = Self(1.0);
-    /// The least.
-    pub const LEAST: f64 = 0.01;
-    /// The most.
-    pub const MOST: f64 = 100.0;
+    /// The smallest valid weight.
+    pub const MIN: f64 = 0.01;
+    /// The largest valid weight.
+    pub const MAX: f64 = 100.0;
 
-    /// The number.
+    /// Returns the weight as a number.
     #[inline]
     #[must_use]
     pub const fn get(self) -> f64 {
         self.0
     }
 
-    /// A weight from 0.01 to 100.
+    /// Creates a weight from 0.01 to 100.
     ///
     /// # Errors
-    /// [`Absurd`] for anything else: zero would mean never to be served.
-    pub fn new(weight: f64) -> Result<Self, Absurd> {
-        if (Self::LEAST..=Self::MOST).contains(&weight) { Ok(Self(weight)) } else { Err(Absurd(weight)) }
+    /// [`InvalidWeight`] for any other number: with a weight of zero a customer would never be served.
+    pub fn new(weight: f64) -> Result<Self, InvalidWeight> {
+        if (Self::MIN..=Self::MAX).contains(&weight) { Ok(Self(weight)) } else { Err(InvalidWeight(weight)) }
     }
 }
 
-/// This is no weight.
+/// The error for a number that isn't a valid weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Absurd(pub f64);
+pub struct InvalidWeight(pub f64);
 
-impl std::fmt::Display for Absurd {
+impl std::fmt::Display for InvalidWeight {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} is no weight: from {} to {}", self.0, Weight::LEAST, Weight::MOST)
+        write!(f, "invalid weight {}: must be from {} to {}", self.0, Weight::MIN, Weight::MAX)
     }
 }
 
-impl std::error::Error for Absurd {}
+impl std::error::Error for InvalidWeight {}
