--- a/crates/stairvale-dispatch/src/cache.rs
+++ b/crates/stairvale-dispatch/src/cache.rs
@@ -75,7 +75,7 @@
     }
 
     /// Adds the parts of a prompt that the engine starts to prefill; returns the shared parts that weren't cached.
-    pub fn begin(&mut self, parts: &[Part], reader: id::Attempt) -> Vec<u64> {
+    pub fn begin_prefill(&mut self, parts: &[Part], reader: id::Attempt) -> Vec<u64> {
         let shared = &parts[..parts.len().saturating_sub(1)];
         let new: Vec<_> = shared.iter().map(|part| part.id).filter(|id| !self.cached.contains_key(id)).collect();
         self.read(parts);
@@ -88,7 +88,7 @@
     }
 
     /// Marks parts as prefilled.
-    pub fn finish(&mut self, parts: &[u64]) {
+    pub fn finish_prefill(&mut self, parts: &[u64]) {
         for id in parts {
             if let Some(cached) = self.cached.get_mut(id) {
                 cached.reader = None;
@@ -97,7 +97,7 @@
     }
 
     /// Removes parts whose prefill by `reader` was aborted.
-    pub fn lose(&mut self, parts: &[u64], reader: id::Attempt) {
+    pub fn abort_prefill(&mut self, parts: &[u64], reader: id::Attempt) {
         for id in parts {
             if self.cached.get(id).is_some_and(|cached| cached.reader == Some(reader))
                 && let Some(cached) = self.cached.remove(id)
--- a/crates/stairvale-dispatch/src/lib.rs
+++ b/crates/stairvale-dispatch/src/lib.rs
@@ -3,7 +3,7 @@
 //! One router is the home of a service. Every entry router requests a permit from it before it sends a request to an
 //! upstream, and reports the outcome. So the home's [`Pool`] records which requests each upstream runs, which tokens it
 //! still has to prefill, which parts of prompts it holds and how its answers compare with those of the others, without
-//! querying the upstreams. [`Window`] is the entry router's share of the retry budget.
+//! querying the upstreams. The [`budget`] module limits the retries of each entry router.
 //!
 //! The crate has no side effects: the current time and messages are passed in, answers are returned.
 //!
--- a/crates/stairvale-dispatch/src/pool.rs
+++ b/crates/stairvale-dispatch/src/pool.rs
@@ -365,7 +365,7 @@
             return Vec::new();
         };
         let Hold { new_parts, read, expected_ms, .. } = &hold;
-        member.cache.finish(new_parts);
+        member.cache.finish_prefill(new_parts);
         self.last_answers.insert(member.zone.clone(), now);
         let took = took.as_secs_f64() * 1e3;
         // Only a prefill that ran alone shows how long prefill takes. Answers of a version on trial don't change the
@@ -410,9 +410,9 @@
             // Without a first event it isn't certain that any part was prefilled.
             read = hold.as_ref().map(|hold| hold.new_parts.clone()).unwrap_or_default();
             if outcome == Outcome::Served {
-                member.cache.finish(&read);
+                member.cache.finish_prefill(&read);
             } else {
-                member.cache.lose(&read, attempt);
+                member.cache.abort_prefill(&read, attempt);
                 self.holders.apply_changes(member);
             }
             if let Some(took) = took {
@@ -513,7 +513,7 @@
             self.placements.remove(attempt);
             self.shares.end(now, attempt);
             if let Some(hold) = hold {
-                member.cache.lose(&hold.new_parts, attempt);
+                member.cache.abort_prefill(&hold.new_parts, attempt);
                 self.holders.apply_changes(member);
                 self.stop_prefill(&hold.new_parts, attempt);
             }
--- a/crates/stairvale-dispatch/src/pool/choose.rs
+++ b/crates/stairvale-dispatch/src/pool/choose.rs
@@ -254,7 +254,7 @@
         if let Some(from) = &source_zone {
             self.paths.begin(now, from, &member.zone);
         }
-        let new_parts = member.cache.begin(&ask.parts, ask.attempt);
+        let new_parts = member.cache.begin_prefill(&ask.parts, ask.attempt);
         self.holders.apply_changes(member);
         member.health.record_given(now);
         member.record_grant(now);
