--- a/crates/stairvale-dispatch/src/pool/allowance/versions.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/versions.rs
@@ -14,8 +14,8 @@
 /// A route's request is tried once this much of a request is due to the route, so that as many are tried too early as
 /// too late.
 const TRY_THRESHOLD: f64 = 0.5;
-/// Maximum number of requests due to a route. A route that hasn't enough requests in time loses those beyond it to other
-/// routes.
+/// Maximum number of requests due to a route. Those beyond it go to other routes, since the route doesn't have enough
+/// requests in time.
 const MAX_DUE: f64 = 2.0;
 /// Share of a route's past requests that counts for the next reservation.
 const PAST_REQUESTS_SHARE: f64 = 0.5;
