--- a/crates/stairvale-control/src/event.rs
+++ b/crates/stairvale-control/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the audit trail.
+//! Events of the audit trail.
 
 use std::fmt;
 
@@ -6,103 +6,103 @@
 use stairvale_config::Generation;
 use stairvale_types::id;
 
-/// A change that somebody may ask about later.
+/// A change that is recorded in the audit trail.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
     /// A configuration came into force at this router.
     ConfigurationInForce {
-        /// The generation before.
+        /// The generation that was in force before; zero if there was none.
         from: Generation,
-        /// The generation now.
+        /// The generation in force now.
         to: Generation,
-        /// Who applied it.
+        /// The operator that submitted the configuration.
         operator: id::Operator,
     },
-    /// Somebody offered a lower generation than is in force; it was not taken.
+    /// A manifest with a lower generation than the one in force was received and refused.
     LowerGenerationRefused {
-        /// What is in force.
+        /// The generation in force.
         in_force: Generation,
-        /// What was offered.
+        /// The refused generation.
         offered: Generation,
     },
-    /// Two documents claim one generation, which the store's compare-and-swap rules out.
+    /// Two different manifests have the same generation, which the store's compare-and-swap should rule out.
     GenerationForked {
-        /// The generation.
+        /// The generation that both manifests have.
         generation: Generation,
     },
     /// An operator's submission was accepted.
     ConfigurationAccepted {
-        /// Who.
+        /// The operator that submitted the change.
         operator: id::Operator,
-        /// The generation it made.
+        /// The generation that the submission created.
         generation: Generation,
     },
     /// An operator's submission was refused.
     ConfigurationRefused {
-        /// Who.
+        /// The operator that submitted the change.
         operator: id::Operator,
-        /// The generation in force.
+        /// The generation in force when the submission was refused.
         in_force: Generation,
     },
-    /// Nothing new goes from this router to the upstreams of a zone from now on.
+    /// A zone was evacuated: this router sends no new requests to its upstreams.
     ZoneEvacuated {
-        /// The zone.
+        /// The evacuated zone.
         zone: id::Zone,
-        /// Who asked for it.
+        /// The operator that requested the evacuation.
         operator: id::Operator,
     },
-    /// This router uses the upstreams of a zone again.
+    /// The evacuation of a zone ended: this router sends requests to its upstreams again.
     ZoneRestored {
-        /// The zone.
+        /// The restored zone.
         zone: id::Zone,
     },
-    /// A router joined, by this router's view.
+    /// A router joined the fleet in this router's view.
     RouterJoined {
-        /// Which.
+        /// The router that joined.
         router: id::Router,
     },
-    /// A router is confirmed dead.
+    /// A router was declared dead in this router's view.
     RouterDied {
-        /// Which.
+        /// The router that died.
         router: id::Router,
     },
-    /// A router stops as planned.
+    /// Another router announced its planned stop.
     RouterLeaves {
-        /// Which.
+        /// The router that stops.
         router: id::Router,
     },
     /// An upstream's state changed.
     UpstreamChanged {
-        /// Which.
+        /// The upstream that changed.
         upstream: id::Upstream,
-        /// The state before, if any was known.
+        /// The previous state, if any was recorded.
         from: Option<String>,
-        /// The state now.
+        /// The new state.
         to: String,
     },
-    /// This router was paused and started its accounts anew.
+    /// This process was suspended and discarded its accounts when it resumed.
     Paused {
-        /// For how long, in milliseconds.
+        /// Duration of the suspension in milliseconds.
         millis: u64,
     },
-    /// This router holds the orders of its availability zone now, or no longer.
+    /// This router acquired or lost the lease for giving orders to the engines of its availability zone.
     OrderHolder {
-        /// Whether it does.
+        /// Whether this router holds the lease now.
         holds: bool,
-        /// The fencing token.
+        /// The fencing token of the lease; zero if it was lost.
         token: u64,
     },
-    /// An engine was ordered to change.
+    /// An engine was ordered to load a model.
     Ordered {
-        /// Which.
+        /// The engine that received the order.
         upstream: id::Upstream,
-        /// The model and version.
+        /// The model and version to load, as `model@version`.
         model: String,
-        /// The fencing token.
+        /// The fencing token of the order.
         token: u64,
     },
-    /// This router stops as planned.
+    /// This router began its planned stop.
     Stopping,
 }
 
--- a/crates/stairvale-control/src/explain.rs
+++ b/crates/stairvale-control/src/explain.rs
@@ -1,4 +1,4 @@
-//! What a router remembers of recent requests, so that it can explain its choices.
+//! Records of recent requests, by which a router explains its choice of upstream.
 
 use std::collections::VecDeque;
 
@@ -7,40 +7,40 @@
 use stairvale_types::{Moment, Refusal, id};
 use stairvale_wire::{Profile, Verdict};
 
-/// Requests remembered at the most.
-const CAPACITY: usize = 2_048;
+/// Maximum number of requests that are recorded; the oldest record is dropped first.
+const MAX_RECORDS: usize = 2_048;
 
-/// Why a request went where it went.
+/// The routing decision for one attempt of a request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Record {
-    /// The attempt, as in the `stairvale-request` header.
+    /// Identifier of the attempt, as in the `stairvale-request` header.
     pub attempt: String,
-    /// The service.
+    /// Service that the request is for.
     pub service: id::Service,
-    /// Whose request it was.
+    /// Customer that sent the request.
     pub customer: id::Customer,
-    /// The chat's number, if there was a chat.
+    /// Number of the chat, if the request belongs to one.
     pub chat: Option<String>,
-    /// Milliseconds since the router started.
+    /// Time of the request in milliseconds since the router started.
     pub at_ms: u64,
-    /// The upstream that was picked.
+    /// The upstream that was chosen, if any.
     pub upstream: Option<id::Upstream>,
-    /// Why it was refused, if it was.
+    /// Reason of the refusal, if the request was refused.
     pub refusal: Option<String>,
-    /// How it came to that, one line a step.
+    /// The steps of the decision, one line each.
     pub steps: Vec<String>,
 }
 
-/// The recent requests of a router.
+/// The records of a router's recent requests.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct RecentRequests {
     records: VecDeque<Record>,
 }
 
-impl Memory {
-    /// Remembers a request that just began.
+impl RecentRequests {
+    /// Adds the record of a request that just began.
     pub fn begin(&mut self, now: Moment, attempt: id::Attempt, profile: &Profile) {
-        if self.records.len() >= CAPACITY {
+        if self.records.len() >= MAX_RECORDS {
             self.records.pop_front();
         }
         self.records.push_back(Record {
@@ -55,23 +55,23 @@
         });
     }
 
-    /// Remembers where it went.
+    /// Records the upstream that was chosen for an attempt and the steps of the decision.
     pub fn granted(&mut self, attempt: id::Attempt, upstream: &id::Upstream, steps: &[Step]) {
         if let Some(record) = self.find_mut(attempt) {
             record.upstream = Some(upstream.clone());
-            record.steps = steps.iter().map(line).collect();
+            record.steps = steps.iter().map(describe).collect();
         }
     }
 
-    /// Remembers why it was refused.
+    /// Records why an attempt was refused and the steps of the decision.
     pub fn refused(&mut self, attempt: id::Attempt, refusal: Refusal, steps: &[Step]) {
         if let Some(record) = self.find_mut(attempt) {
             record.refusal = Some(refusal.to_string());
-            record.steps = steps.iter().map(line).collect();
+            record.steps = steps.iter().map(describe).collect();
         }
     }
 
-    /// Requests whose attempt or chat has this number, the latest first.
+    /// The records whose attempt or chat has this number, the latest first.
     #[must_use]
     pub fn find(&self, number: &str) -> Vec<Record> {
         let matches = |record: &&Record| record.attempt == number || record.chat.as_deref() == Some(number);
@@ -84,25 +84,28 @@
     }
 }
 
-fn line(step: &Step) -> String {
+fn describe(step: &Step) -> String {
     let event = match &step.event {
-        Event::Asked { home, patience } if patience.is_zero() => format!("asked its home {home}"),
+        Event::Asked { home, patience } if patience.is_zero() => format!("permit requested from its home {home}"),
         Event::Asked { home, patience } => {
-            format!("asked its home {home}, willing to wait {} ms", patience.as_millis())
+            format!("permit requested from its home {home}, waiting up to {} ms", patience.as_millis())
         }
         Event::Answered(Verdict::Granted { outstanding, over_share }) => {
-            let note =
-                if *over_share { "; the customer is over its share, so the engine serves others first" } else { "" };
+            let note = if *over_share {
+                "; the customer exceeds its share, so other customers' requests go first"
+            } else {
+                ""
+            };
             format!("granted; {outstanding} outstanding there{note}")
         }
-        Event::Answered(Verdict::Elsewhere { upstream }) => format!("the chat's prefix sits at {upstream}"),
-        Event::Answered(Verdict::Overflow { .. }) => "passed over: at its bound".to_owned(),
-        Event::Answered(Verdict::Refused(refusal)) => format!("refused, {refusal}"),
-        Event::Answered(Verdict::NotHome { .. }) => "the router asked is not its home".to_owned(),
-        Event::Answered(Verdict::Closed) => "passed over: takes no new work".to_owned(),
+        Event::Answered(Verdict::Elsewhere { upstream }) => format!("the chat's prefix is cached at {upstream}"),
+        Event::Answered(Verdict::Overflow { .. }) => "skipped: at its load bound".to_owned(),
+        Event::Answered(Verdict::Refused(refusal)) => format!("refused: {refusal}"),
+        Event::Answered(Verdict::NotHome { .. }) => "the requested router is not its home".to_owned(),
+        Event::Answered(Verdict::Closed) => "skipped: accepts no new requests".to_owned(),
         Event::Unanswered => "its home did not answer".to_owned(),
-        Event::PassedOver => "passed over: not usable in this router's view".to_owned(),
-        Event::Degraded => "no home reached; taken from this router's own share".to_owned(),
+        Event::PassedOver => "skipped: not usable in this router's view".to_owned(),
+        Event::Degraded => "no home reachable; permit taken from this router's own share".to_owned(),
     };
     format!("{} {}: {event}", step.at, step.upstream)
 }
--- a/crates/stairvale-control/src/fleet.rs
+++ b/crates/stairvale-control/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Who is whose home: the entry's directory, made from routers, upstreams and the configuration.
+//! This router's view of the fleet: the homes of all upstreams, derived from the live routers, the upstreams and the
+//! configuration in force.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,30 +13,31 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::Member;
 
-/// Homes of one upstream, the first choice and who takes over.
+/// The home of one upstream and its successor.
 type Homes = [Option<id::Router>; 2];
 
-/// What this router knows of the fleet.
+/// One router's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The routers.
+    /// Membership of the routers.
     pub swim: Swim,
-    /// The upstreams.
+    /// Listed upstreams with their status.
     pub upstreams: Upstreams,
-    /// The configuration in force.
+    /// Document of the configuration in force.
     pub document: Arc<Document>,
-    /// Zones to whose upstreams nothing new goes.
+    /// Evacuated availability zones: their upstreams receive no new requests.
     pub evacuated: BTreeSet<id::Zone>,
-    /// The time of the input that is being handled.
+    /// Time of the input that is being handled.
     pub now: Moment,
     zone: id::Zone,
     homes: BTreeMap<id::Upstream, Homes>,
-    seen: HashMap<id::Upstream, u32>,
+    /// Outstanding requests of each upstream, as its home reported with the latest grant.
+    reported_loads: HashMap<id::Upstream, u32>,
     engines: HashMap<id::Service, Vec<Engine>>,
 }
 
 impl Fleet {
-    /// A fleet of one router and no upstreams.
+    /// Creates the view of a fleet that has one router and no upstreams.
     #[must_use]
     pub fn new(swim: Swim) -> Self {
         let zone = swim.me().zone.clone();
@@ -47,7 +49,7 @@
             now: Moment::ZERO,
             zone,
             homes: BTreeMap::new(),
-            seen: HashMap::new(),
+            reported_loads: HashMap::new(),
             engines: HashMap::new(),
         }
     }
@@ -61,23 +63,24 @@
         &self.zone
     }
 
-    /// The homes of all upstreams.
+    /// All upstreams, each with its home if there is one.
     pub fn homes(&self) -> impl Iterator<Item = (&id::Upstream, Option<&id::Router>)> {
         self.homes.iter().map(|(upstream, homes)| (upstream, homes[0].as_ref()))
     }
 
-    /// The configured service.
+    /// The configuration of a service, if it exists.
     #[must_use]
     pub fn service(&self, name: &id::Service) -> Option<&Service> {
         self.document.service(name.as_str())
     }
 
-    /// Live routers of an availability zone.
+    /// The live routers of an availability zone.
     pub fn routers<'a>(&'a self, zone: &'a id::Zone) -> impl Iterator<Item = &'a Member> {
         self.swim.live().filter(move |member| &member.zone == zone)
     }
 
-    /// The router of an availability zone that does a job which one router a zone does.
+    /// The router to which a per-zone job is assigned in an availability zone, by rendezvous hashing over its live
+    /// routers.
     #[must_use]
     pub fn holder(&self, job: &str, zone: &id::Zone) -> Option<id::Router> {
         let job = rapidhash::v3::rapidhash_v3(job.as_bytes());
@@ -85,7 +88,7 @@
         pick(job, routers).cloned()
     }
 
-    /// The router of the whole fleet that does a job.
+    /// The router to which a fleet-wide job is assigned, by rendezvous hashing over all live routers.
     #[must_use]
     pub fn keeper(&self, job: &str) -> Option<id::Router> {
         let job = rapidhash::v3::rapidhash_v3(job.as_bytes());
@@ -93,7 +96,7 @@
         pick(job, routers).cloned()
     }
 
-    /// Availability zones of this router's region that have live routers.
+    /// Availability zones of this router's region that have live routers, sorted by name.
     #[must_use]
     pub fn near_zones(&self) -> Vec<id::Zone> {
         let mut zones: Vec<_> = self.swim.live().map(|member| member.zone.clone()).collect();
@@ -103,7 +106,7 @@
         zones
     }
 
-    /// Whether an availability zone lies in this router's region; unknown ones count as near.
+    /// Whether an availability zone lies in this router's region. A zone whose region isn't configured counts as near.
     #[must_use]
     pub fn is_near(&self, zone: &id::Zone) -> bool {
         let here = self.document.region(&self.zone);
@@ -111,7 +114,7 @@
         here.is_none() || there.is_none() || here == there
     }
 
-    /// The engines of a service in the order of preference for a key: this region's first.
+    /// The engines of a service in their order of preference for a key, those of this router's region first.
     #[must_use]
     pub fn rank(&self, service: &id::Service, key: u64) -> Vec<id::Upstream> {
         let Some(engines) = self.engines.get(service) else {
@@ -123,13 +126,14 @@
         ranked
     }
 
-    /// An upstream.
+    /// The state of an upstream, if it is listed or was until recently.
     #[must_use]
     pub fn upstream(&self, name: &id::Upstream) -> Option<&Upstream> {
         self.upstreams.get(name)
     }
 
-    /// Whether an upstream takes new work, from this router or from others.
+    /// Whether an upstream accepts new requests from any router: it is usable and its zone isn't evacuated. Back-off
+    /// that it requested from this router alone isn't considered.
     #[must_use]
     pub fn takes_work(&self, upstream: &id::Upstream) -> bool {
         self.upstreams.get(upstream).is_some_and(|u| u.usable(self.now) && !self.evacuated.contains(&u.zone))
@@ -138,19 +142,19 @@
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// An upstream's home told its load.
-    pub fn saw(&mut self, upstream: &id::Upstream, outstanding: u32) {
-        self.seen.insert(upstream.clone(), outstanding);
+    /// Records the number of outstanding requests that an upstream's home reported.
+    pub fn record_load(&mut self, upstream: &id::Upstream, outstanding: u32) {
+        self.reported_loads.insert(upstream.clone(), outstanding);
     }
 
-    /// Works out all homes anew; says whether any changed.
+    /// Recomputes the homes of all upstreams and returns whether any of them changed.
     pub fn refresh(&mut self) -> bool {
         self.refresh_engines();
         let homes: BTreeMap<_, _> = self.upstreams.iter().map(|u| (u.name.clone(), self.homes_of(u))).collect();
         if homes == self.homes {
             return false;
         }
-        self.seen.retain(|upstream, _| homes.contains_key(upstream));
+        self.reported_loads.retain(|upstream, _| homes.contains_key(upstream));
         self.homes = homes;
         true
     }
@@ -163,7 +167,8 @@
         }
     }
 
-    /// A home is in the upstream's availability zone while any router lives there; else anywhere.
+    /// Chooses the home and its successor among the live routers of the upstream's availability zone, or, if there are
+    /// none, among those of this router's region.
     fn homes_of(&self, upstream: &Upstream) -> Homes {
         let key = upstream.name.hash64();
         let mut near: Vec<_> = self.routers(&upstream.zone).collect();
@@ -171,8 +176,8 @@
             near = self.swim.live().filter(|member| self.is_near(&member.zone)).collect();
         }
         let first = pick(key, near.iter().map(|m| (m.router.hash64(), &m.router))).cloned();
-        let others = near.iter().filter(|m| Some(&m.router) != first.as_ref());
-        let second = pick(key, others.map(|m| (m.router.hash64(), &m.router))).cloned();
+        let remaining = near.iter().filter(|m| Some(&m.router) != first.as_ref());
+        let second = pick(key, remaining.map(|m| (m.router.hash64(), &m.router))).cloned();
         [first, second]
     }
 }
@@ -187,8 +192,9 @@
         self.takes_work(upstream) && !rests
     }
 
-    /// Without a home nobody knows the engine's account: all routers together should stay within the bound that their
-    /// latest grants suggest, so each takes its part of that.
+    /// The part of an engine's load bound that this router may use while no home answers. No router has the engine's
+    /// account then, so the bound is estimated from the loads reported with the latest grants, and each router of the
+    /// region takes an equal part of it so that all of them together stay within it.
     #[allow(clippy::cast_precision_loss)]
     fn share(&self, upstream: &id::Upstream) -> Option<Share> {
         let known = self.upstreams.get(upstream)?;
@@ -196,11 +202,11 @@
         let routers = self.swim.live().filter(|member| self.is_near(&member.zone)).count();
         let routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
         let engines = self.engines.get(&known.service)?;
-        let seen: Vec<_> = engines.iter().filter_map(|engine| self.seen.get(&engine.upstream)).collect();
-        let sum: u64 = seen.iter().map(|load| u64::from(**load)).sum();
-        let mean = sum as f64 / seen.len().max(1) as f64;
+        let loads: Vec<_> = engines.iter().filter_map(|engine| self.reported_loads.get(&engine.upstream)).collect();
+        let sum: u64 = loads.iter().map(|load| u64::from(**load)).sum();
+        let mean = sum as f64 / loads.len().max(1) as f64;
         let bound = service.load_multiple.bound(mean).min(service.slots);
-        let reported = self.seen.get(upstream).copied().unwrap_or(0);
+        let reported = self.reported_loads.get(upstream).copied().unwrap_or(0);
         Some(Share { reported, slots: service.slots, own: (bound / routers).max(1) })
     }
 }
--- a/crates/stairvale-control/src/generation.rs
+++ b/crates/stairvale-control/src/generation.rs
@@ -1,4 +1,5 @@
-//! Which configuration is in force here: generations only rise, chunks come from peers first.
+//! The configuration in force at one router. Its generation only rises, and missing chunks are fetched from peers
+//! first, then from the platform's store.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -7,50 +8,50 @@
 
 use crate::Event;
 
-/// A peer that doesn't send chunks within this time is given up; the next source is asked.
+/// Time after which a source that hasn't sent all requested chunks is given up and the next one is tried.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Peers asked before the platform is.
+/// Number of peers from which chunks are requested before the platform's store is read.
 const MAX_PEERS: u32 = 2;
-/// The least time between two fetches of a manifest from one peer's hint.
-const HINT_EVERY: Duration = Duration::from_millis(100);
+/// Minimum interval between two fetches of a manifest from peers that announce a newer generation.
+const HINT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What to do.
+/// An action that the holder requests, or a change that it reports.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Ask a peer for its manifest.
+    /// Requests a peer's manifest.
     FetchManifest(id::Router),
-    /// Ask a peer for chunks.
+    /// Requests chunks from a peer.
     FetchChunks(id::Router, Vec<Digest>),
-    /// Ask the platform for a chunk.
+    /// Reads a chunk from the platform's store.
     ReadChunk(Digest),
-    /// The document is in force from now on.
+    /// A document came into force, with its generation.
     InForce(Generation, Arc<Document>),
-    /// For the audit trail.
+    /// Writes an event to the audit trail.
     Audit(Event),
 }
 
 #[derive(Debug)]
 struct Pending {
     manifest: Manifest,
-    asked: Moment,
+    requested: Moment,
     tries: u32,
 }
 
-/// The holder of the configuration.
+/// Keeps the configuration in force and fetches the next one.
 #[derive(Debug, Default)]
 pub struct Holder {
     in_force: Option<Manifest>,
     chunks: HashMap<Digest, Arc<str>>,
     pending: Option<Pending>,
     hinted: Option<(id::Router, Moment)>,
-    /// Times that a lower generation was offered and refused.
+    /// Number of offered manifests that were refused for a lower generation than the one in force.
     pub refused_lower: u64,
-    /// Broken invariants: any but zero is a fault.
+    /// Number of invariant violations; any value but zero shows a fault of the program.
     pub violations: u64,
 }
 
 impl Holder {
-    /// A holder of nothing.
+    /// Creates a holder without a configuration.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -59,19 +60,19 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// The generation in force; zero before there is one.
+    /// The generation in force; zero if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.in_force.as_ref().map_or(Generation(0), Manifest::generation)
     }
 
-    /// The manifest in force.
+    /// The manifest in force, if there is one.
     #[must_use]
     pub fn manifest(&self) -> Option<&Manifest> {
         self.in_force.as_ref()
     }
 
-    /// Chunks that are here, of those asked for.
+    /// Those of the requested chunks that this router has.
     #[must_use]
     pub fn find(&self, wanted: &[Digest]) -> Vec<String> {
         wanted.iter().filter_map(|digest| self.chunks.get(digest)).map(ToString::to_string).collect()
@@ -80,13 +81,13 @@
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// A peer says which generation it has.
+    /// Handles a peer's announcement of its generation: the manifest is fetched from the peer if it is newer.
     pub fn hear(&mut self, now: Moment, from: &id::Router, generation: Generation) -> Vec<Effect> {
         let known = self.pending.as_ref().map_or(self.generation(), |pending| pending.manifest.generation());
         if generation <= known {
             return Vec::new();
         }
-        let recent = self.hinted.as_ref().is_some_and(|(_, at)| now.since(*at) < HINT_EVERY);
+        let recent = self.hinted.as_ref().is_some_and(|(_, at)| now.since(*at) < HINT_INTERVAL);
         if recent {
             return Vec::new();
         }
@@ -94,7 +95,8 @@
         vec![Effect::FetchManifest(from.clone())]
     }
 
-    /// A manifest came in, from a peer, or from the platform if `from` is `None`.
+    /// Handles a received manifest. Its missing chunks are requested from the peer `from`, or read from the platform's
+    /// store if `from` is `None`.
     pub fn offer(&mut self, now: Moment, from: Option<&id::Router>, manifest: Manifest) -> Vec<Effect> {
         let in_force = self.generation();
         let offered = manifest.generation();
@@ -103,16 +105,16 @@
             return vec![Effect::Audit(Event::LowerGenerationRefused { in_force, offered })];
         }
         if offered == in_force {
-            return self.compare(&manifest);
+            return self.check_fork(&manifest);
         }
         if self.pending.as_ref().is_some_and(|pending| pending.manifest.generation() >= offered) {
             return Vec::new();
         }
-        self.pending = Some(Pending { manifest, asked: now, tries: 0 });
+        self.pending = Some(Pending { manifest, requested: now, tries: 0 });
         self.fetch(now, from)
     }
 
-    /// Chunks came in; each is known by its content, so it doesn't matter from where.
+    /// Handles received chunks. A chunk is identified by the digest of its content, so its source doesn't matter.
     pub fn take(&mut self, chunks: Vec<String>) -> Vec<Effect> {
         let Some(pending) = &self.pending else {
             return Vec::new();
@@ -126,9 +128,9 @@
         self.complete()
     }
 
-    /// Lets time pass: silent sources are given up. `peer` is another one to try.
+    /// Advances the time: a source that timed out is given up. `peer` is the next one to try.
     pub fn tick(&mut self, now: Moment, peer: Option<&id::Router>) -> Vec<Effect> {
-        let overdue = self.pending.as_ref().is_some_and(|pending| now.since(pending.asked) >= FETCH_TIMEOUT);
+        let overdue = self.pending.as_ref().is_some_and(|pending| now.since(pending.requested) >= FETCH_TIMEOUT);
         if !overdue {
             return Vec::new();
         }
@@ -137,7 +139,8 @@
 
     // ------------------------------------------------------------------------
 
-    fn compare(&mut self, manifest: &Manifest) -> Vec<Effect> {
+    /// Reports a manifest that has the generation in force but another content.
+    fn check_fork(&mut self, manifest: &Manifest) -> Vec<Effect> {
         let same = |m: &Manifest| m.change.document == manifest.change.document && m.evacuated == manifest.evacuated;
         let same = self.in_force.as_ref().is_some_and(same);
         if same || manifest.generation() == Generation(0) {
@@ -148,16 +151,16 @@
     }
 
     fn fetch(&mut self, now: Moment, from: Option<&id::Router>) -> Vec<Effect> {
-        let done = self.complete();
-        if !done.is_empty() {
-            return done;
+        let effects = self.complete();
+        if !effects.is_empty() {
+            return effects;
         }
         let Some(pending) = &mut self.pending else {
             return Vec::new();
         };
         let missing: Vec<_> =
             pending.manifest.chunks.iter().filter(|d| !self.chunks.contains_key(d)).copied().collect();
-        pending.asked = now;
+        pending.requested = now;
         pending.tries += 1;
         match from {
             Some(peer) if pending.tries <= MAX_PEERS => vec![Effect::FetchChunks(peer.clone(), missing)],
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Puts the pending document together, once all its chunks are here.
+    /// Assembles the pending document and puts it into force once all its chunks are present.
     fn complete(&mut self) -> Vec<Effect> {
         let Some(pending) = &self.pending else {
             return Vec::new();
@@ -178,14 +181,14 @@
         let manifest = pending.manifest.clone();
         self.pending = None;
         let Ok(document) = Document::parse(&text) else {
-            // It was checked when it was accepted, so this version of the program is older than the document.
+            // The document was validated when it was accepted, so this version of the program is too old to parse it.
             self.violations += 1;
             return Vec::new();
         };
-        self.enforce(manifest, document)
+        self.activate(manifest, document)
     }
 
-    fn enforce(&mut self, manifest: Manifest, document: Document) -> Vec<Effect> {
+    fn activate(&mut self, manifest: Manifest, document: Document) -> Vec<Effect> {
         let from = self.generation();
         let to = manifest.generation();
         if to <= from {
--- a/crates/stairvale-control/src/handlers/claims.rs
+++ b/crates/stairvale-control/src/handlers/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: as an entry and as a shard's keeper.
+//! Claims on idempotency keys: requests and settlements by entries, and the shards that this router owns.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 use crate::{
     Node, Output,
     io::{Action, Answer, Purpose},
-    node::{Claiming, Unsettled},
+    node::{PendingClaim, Unsettled},
 };
 
-/// A claim's answer later than this is not used.
-const CLAIM_VALID: Duration = Duration::from_secs(5);
-/// Settled claims are told to the keeper until it has written them down, this many times at the most; telling twice
-/// changes nothing.
-const SETTLE_TRIES: u16 = 600;
-/// A segment outlasts its claims by far, since keepers' times differ a little.
-const SEGMENT_KEEP: Duration = Duration::from_millis(2 * KEEP_MS);
-/// A claim that was given up is remembered this long, to give it back should its answer still come.
-const GIVEN_UP_KEEP: Duration = Duration::from_secs(60);
-const SETTLE_EVERY: Duration = Duration::from_secs(1);
+/// Time after which a claim request counts as unanswered and its request is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of times that a settlement is sent to the shard's owner, unless the owner acknowledges earlier that
+/// it has written it. Settling is idempotent, so repeated sends are harmless.
+const MAX_SETTLE_TRIES: u16 = 600;
+/// Time for which the store keeps a segment: twice as long as a claim, since the clocks of shard owners differ.
+const SEGMENT_TTL: Duration = Duration::from_millis(2 * KEEP_MS);
+/// Time for which an abandoned claim is remembered, to give it back if the owner grants it late.
+const GIVEN_UP_RETENTION: Duration = Duration::from_secs(60);
+/// Interval between two sends of a settlement, and the retry delay of callers whose claim went unanswered.
+const SETTLE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Node {
     pub(crate) fn tick_claims(&mut self) {
@@ -32,26 +33,28 @@
             let effects = shard.tick(self.now, self.now_ms);
             self.shard_effects(number, effects);
         }
-        let overdue = self.claiming.iter().filter(|(_, claiming)| self.now.since(claiming.asked) >= CLAIM_VALID);
-        let overdue: Vec<_> = overdue.map(|(attempt, claiming)| (*attempt, claiming.key)).collect();
+        let overdue =
+            self.pending_claims.iter().filter(|(_, pending)| self.now.since(pending.requested) >= CLAIM_TIMEOUT);
+        let overdue: Vec<_> = overdue.map(|(attempt, pending)| (*attempt, pending.key)).collect();
         self.abandon_claims(overdue);
         let now = self.now;
-        self.given_up.retain(|_, at| now.since(*at) < GIVEN_UP_KEEP);
-        let due: Vec<_> = self.unsettled.iter().filter(|u| now.since(u.sent) >= SETTLE_EVERY).cloned().collect();
+        self.given_up.retain(|_, at| now.since(*at) < GIVEN_UP_RETENTION);
+        let due: Vec<_> = self.unsettled.iter().filter(|u| now.since(u.sent) >= SETTLE_INTERVAL).cloned().collect();
         for settled in due {
             self.send_settled(&settled);
         }
-        for settled in self.unsettled.iter_mut().filter(|u| now.since(u.sent) >= SETTLE_EVERY) {
+        for settled in self.unsettled.iter_mut().filter(|u| now.since(u.sent) >= SETTLE_INTERVAL) {
             settled.sent = now;
-            settled.left -= 1;
+            settled.tries_left -= 1;
         }
-        self.unsettled.retain(|settled| settled.left > 0);
+        self.unsettled.retain(|settled| settled.tries_left > 0);
     }
 
-    /// Claims whose keeper doesn't answer are given up: nothing runs, and should they stand they are given back.
+    /// Abandons claims whose shard owner doesn't answer. Their requests are refused without running, and each claim is
+    /// given back in case the owner recorded it.
     pub(crate) fn abandon_claims(&mut self, claims: Vec<(id::Attempt, id::Key)>) {
         for (attempt, key) in claims {
-            let verdict = ClaimVerdict::Unavailable { retry_after: SETTLE_EVERY };
+            let verdict = ClaimVerdict::Unavailable { retry_after: SETTLE_INTERVAL };
             self.outputs.push(Output::Claimed { attempt, verdict });
             self.given_up.insert(attempt, self.now);
             self.settle(key, attempt, None);
@@ -59,32 +62,33 @@
     }
 
     pub(crate) fn claim(&mut self, key: id::Key, attempt: id::Attempt) {
-        let Some(keeper) = self.claim_keeper(key) else {
+        let Some(owner) = self.claim_owner(key) else {
             return;
         };
-        let claiming = Claiming { key, keeper: keeper.clone(), asked: self.now };
-        self.claiming.insert(attempt, claiming);
-        self.send(&keeper, Frame::Claim { key, attempt });
+        let pending = PendingClaim { key, owner: owner.clone(), requested: self.now };
+        self.pending_claims.insert(attempt, pending);
+        self.send(&owner, Frame::Claim { key, attempt });
     }
 
-    pub(crate) fn claim_keeper(&self, key: id::Key) -> Option<id::Router> {
+    pub(crate) fn claim_owner(&self, key: id::Key) -> Option<id::Router> {
         self.fleet.keeper(&format!("claims/{}", shard_of(key)))
     }
 
-    pub(crate) fn keep_claim(&mut self, from: &id::Router, key: id::Key, attempt: id::Attempt) {
+    pub(crate) fn record_claim(&mut self, from: &id::Router, key: id::Key, attempt: id::Attempt) {
         let number = shard_of(key);
         let shard = self.shards.entry(number).or_default();
         let effects = shard.claim(self.now, self.now_ms, from.clone(), key, attempt);
         self.shard_effects(number, effects);
     }
 
-    pub(crate) fn claimed(&mut self, key: id::Key, attempt: id::Attempt, verdict: ClaimVerdict) {
-        let claiming = self.claiming.remove(&attempt);
-        if claiming.is_some() {
+    pub(crate) fn claim_answered(&mut self, key: id::Key, attempt: id::Attempt, verdict: ClaimVerdict) {
+        let pending = self.pending_claims.remove(&attempt);
+        if pending.is_some() {
             self.outputs.push(Output::Claimed { attempt, verdict });
             return;
         }
-        // Only a claim that was given up may be given back: a second copy of an answer that was used must change nothing.
+        // Only an abandoned claim may be given back: a duplicate of an answer that was used already must have no
+        // effect.
         let given_up = self.given_up.contains_key(&attempt);
         if given_up && matches!(verdict, ClaimVerdict::Yours { .. }) {
             self.settle(key, attempt, None);
@@ -92,21 +96,21 @@
     }
 
     pub(crate) fn settle(&mut self, key: id::Key, attempt: id::Attempt, stored: Option<Stored>) {
-        self.claiming.remove(&attempt);
-        let settled = Unsettled { key, attempt, stored, sent: self.now, left: SETTLE_TRIES };
+        self.pending_claims.remove(&attempt);
+        let settled = Unsettled { key, attempt, stored, sent: self.now, tries_left: MAX_SETTLE_TRIES };
         self.send_settled(&settled);
         self.unsettled.push(settled);
     }
 
     pub(crate) fn send_settled(&mut self, settled: &Unsettled) {
-        let Some(keeper) = self.claim_keeper(settled.key) else {
+        let Some(owner) = self.claim_owner(settled.key) else {
             return;
         };
         let Unsettled { key, attempt, stored, .. } = settled.clone();
-        self.send(&keeper, Frame::Settle { key, attempt, stored });
+        self.send(&owner, Frame::Settle { key, attempt, stored });
     }
 
-    pub(crate) fn keep_settled(
+    pub(crate) fn record_settlement(
         &mut self,
         from: &id::Router,
         key: id::Key,
@@ -132,7 +136,7 @@
     pub(crate) fn segment_answer(&mut self, number: u32, id: &str, answer: Answer) {
         let reply = match answer {
             Answer::Value(value) => shard::Reply::Segment { id: id.to_owned(), text: value.map(|(text, _)| text) },
-            // The name says what is in it, so one that is there already is as good.
+            // A segment is named by its content, so an existing one is identical to the one to be written.
             Answer::Written(_) | Answer::Conflict => shard::Reply::SegmentWritten,
             Answer::Lost => shard::Reply::Lost,
         };
@@ -161,7 +165,7 @@
                 }
                 shard::Effect::WriteSegment { id, text } => {
                     let key = format!("claims/{number}/{id}");
-                    self.call(Purpose::Segment(number, id), key, Action::Create { value: text, keep: SEGMENT_KEEP });
+                    self.call(Purpose::Segment(number, id), key, Action::Create { value: text, keep: SEGMENT_TTL });
                 }
                 shard::Effect::Noted { to, attempt } => self.send(&to, Frame::Noted { attempt }),
                 shard::Effect::Settled { to, key, attempt } => self.send(&to, Frame::Settled { key, attempt }),
--- a/crates/stairvale-control/src/handlers/configuration.rs
+++ b/crates/stairvale-control/src/handlers/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration, the list of VMs and the store's answers.
+//! Distribution of the configuration, the list of VMs, and dispatch of the store's answers.
 
 use std::time::Duration;
 
@@ -12,28 +12,29 @@
     sweep,
 };
 
-/// How often an availability zone asks the platform for its list.
-const VMS_EVERY: Duration = Duration::from_millis(500);
-/// How often a router without a configuration asks for one.
-const MANIFEST_EVERY: Duration = Duration::from_millis(500);
-/// A watch begins anew this long after the last one ended, so that an outage isn't stormed.
-const WATCH_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which one router of each availability zone fetches the platform's list of VMs.
+const VMS_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a router without a configuration requests the manifest from a peer.
+const MANIFEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay between the end of one watch on the manifest and the start of the next, which keeps the routers from flooding
+/// the store with calls during an outage.
+const WATCH_DELAY: Duration = Duration::from_millis(200);
 
 impl Node {
     pub(crate) fn tick_config(&mut self) {
         let peer = self.random_peer();
         let effects = self.config.tick(self.now, peer.as_ref());
         self.config_effects(effects);
-        let none = self.config.generation() == Generation(0);
-        let due = self.schedule.manifest.is_none_or(|at| self.now.since(at) >= MANIFEST_EVERY);
-        if none && due {
-            self.schedule.manifest = Some(self.now);
+        let unconfigured = self.config.generation() == Generation(0);
+        let due = self.schedule.manifest_requested.is_none_or(|at| self.now.since(at) >= MANIFEST_INTERVAL);
+        if unconfigured && due {
+            self.schedule.manifest_requested = Some(self.now);
             if let Some(peer) = peer {
                 self.send(&peer, Frame::FetchManifest);
             }
         }
         let zone = self.fleet.zone().clone();
-        let watches = none || self.fleet.holder("config", &zone).as_ref() == Some(&self.me);
+        let watches = unconfigured || self.fleet.holder("config", &zone).as_ref() == Some(&self.me);
         if watches && !self.schedule.watching && self.now >= self.schedule.watch_after {
             self.schedule.watching = true;
             let action = Action::Watch { revision: self.schedule.manifest_revision };
@@ -41,13 +42,13 @@
         }
         self.tick_vms(&zone);
         let sweeps = self.fleet.keeper("sweep").as_ref() == Some(&self.me);
-        let wish = self.sweep.tick(self.now, sweeps);
-        self.sweep_wish(wish);
+        let call = self.sweep.tick(self.now, sweeps);
+        self.call_sweep(call);
     }
 
-    /// Calls the store for the sweep of old chunks.
-    fn sweep_wish(&mut self, wish: Option<sweep::Wish>) {
-        let (key, action) = match wish {
+    /// Makes a store call of the sweep that deletes unused chunks.
+    fn call_sweep(&mut self, call: Option<sweep::Wish>) {
+        let (key, action) = match call {
             None => return,
             Some(sweep::Wish::ReadChunk(chunk)) => (apply::chunk_key(chunk), Action::Read),
             Some(sweep::Wish::ReadManifest) => (apply::MANIFEST_KEY.to_owned(), Action::Read),
@@ -57,18 +58,18 @@
     }
 
     pub(crate) fn tick_vms(&mut self, zone: &id::Zone) {
-        let due = self.schedule.vms.is_none_or(|at| self.now.since(at) >= VMS_EVERY);
-        let asks = self.fleet.upstreams.revision() == 0 || self.fleet.holder("vms", zone).as_ref() == Some(&self.me);
-        if due && asks {
-            self.schedule.vms = Some(self.now);
+        let due = self.schedule.vms_fetched.is_none_or(|at| self.now.since(at) >= VMS_INTERVAL);
+        let fetches = self.fleet.upstreams.revision() == 0 || self.fleet.holder("vms", zone).as_ref() == Some(&self.me);
+        if due && fetches {
+            self.schedule.vms_fetched = Some(self.now);
             self.outputs.push(Output::FetchVms);
         }
     }
 
     pub(crate) fn accepted(&mut self, manifest: Manifest, chunks: Vec<String>) {
         let effects = self.config.offer(self.now, None, manifest);
-        let quiet = effects.into_iter().filter(|effect| !matches!(effect, generation::Effect::ReadChunk(_)));
-        self.config_effects(quiet.collect());
+        let without_reads = effects.into_iter().filter(|effect| !matches!(effect, generation::Effect::ReadChunk(_)));
+        self.config_effects(without_reads.collect());
         let effects = self.config.take(chunks);
         self.config_effects(effects);
     }
@@ -90,7 +91,7 @@
                     self.fleet.refresh();
                     self.move_accounts();
                     self.outputs.push(Output::InForce { generation, document });
-                    self.tell_versions();
+                    self.announce_versions();
                 }
                 generation::Effect::Audit(event) => self.audit(event),
             }
@@ -110,11 +111,11 @@
         self.outputs.push(Output::Store(Call { purpose, key, action }));
     }
 
-    pub(crate) fn stored(&mut self, purpose: &Purpose, answer: Answer) {
+    pub(crate) fn store_answered(&mut self, purpose: &Purpose, answer: Answer) {
         match purpose {
             Purpose::Manifest => {
                 self.schedule.watching = false;
-                self.schedule.watch_after = self.now + WATCH_EVERY;
+                self.schedule.watch_after = self.now + WATCH_DELAY;
                 if let Answer::Value(Some((text, revision))) = answer {
                     self.schedule.manifest_revision = revision;
                     self.read_manifest(&text);
@@ -129,8 +130,8 @@
             Purpose::Claims(number) => self.claims_answer(*number, answer),
             Purpose::Segment(number, id) => self.segment_answer(*number, id, answer),
             Purpose::Sweep => {
-                let wish = self.sweep.answer(self.now, &answer);
-                self.sweep_wish(wish);
+                let call = self.sweep.answer(self.now, &answer);
+                self.call_sweep(call);
             }
             Purpose::Orders => {
                 let holds = self.orders.answer(self.now, &answer);
@@ -151,8 +152,9 @@
         self.config_effects(effects);
     }
 
-    pub(crate) fn ordered(&mut self, upstream: &id::Upstream, taken: bool) {
-        // A refused order means a later holder: its word counts, so this one only looks again.
+    pub(crate) fn order_answered(&mut self, upstream: &id::Upstream, taken: bool) {
+        // An engine refuses an order if it has seen a later holder's token. That holder's orders take precedence, so
+        // this router only probes the engine again.
         if !taken {
             self.probe(upstream);
         }
--- a/crates/stairvale-control/src/handlers/engine_orders.rs
+++ b/crates/stairvale-control/src/handlers/engine_orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: homes tell the zone's order holder what their engines have loaded, and it orders what they should.
+//! Orders to engines. Homes report engines whose loaded model differs from the configured one to the order holder of
+//! the engine's availability zone, which orders them to load the configured model.
 
 use std::time::Duration;
 
@@ -11,18 +12,19 @@
     orders::{self, Loaded, Need},
 };
 
-/// How often a home tells that an engine has the wrong model.
-const TELL_EVERY: Duration = Duration::from_secs(2);
-/// What a home told longer ago than this isn't so any more: the engine has its model, or another home.
-const TELL_TTL: Duration = Duration::from_secs(5);
+/// Interval at which a home reports the engines that have the wrong model.
+const MISMATCH_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after which a mismatch that wasn't reported again is dropped: the engine has the right model by then, or
+/// another home.
+const MISMATCH_TTL: Duration = Duration::from_secs(5);
 
 impl Node {
     pub(crate) fn tick_orders(&mut self) {
-        self.tell_mismatches();
+        self.report_mismatches();
         let zone = self.fleet.zone().clone();
         let chosen = !self.leaving && self.fleet.holder("orders", &zone).as_ref() == Some(&self.me);
-        if let Some(wish) = self.orders.tick(self.now, chosen) {
-            let revision = match wish {
+        if let Some(call) = self.orders.tick(self.now, chosen) {
+            let revision = match call {
                 orders::Wish::Acquire => 0,
                 orders::Wish::Renew => 1,
             };
@@ -40,17 +42,17 @@
         }
     }
 
-    /// Tells the order holders which of the engines that are probed here have the wrong model.
-    fn tell_mismatches(&mut self) {
-        if self.schedule.mismatches.is_some_and(|at| self.now.since(at) < TELL_EVERY) {
+    /// Reports the engines that this router probes and that have the wrong model to the order holders of their zones.
+    fn report_mismatches(&mut self) {
+        if self.schedule.mismatches_sent.is_some_and(|at| self.now.since(at) < MISMATCH_REPORT_INTERVAL) {
             return;
         }
-        self.schedule.mismatches = Some(self.now);
-        let wrong = self.probing.iter().filter_map(|(upstream, probing)| {
-            let loaded = probing.loaded.clone()?;
-            (self.should_have(upstream)? != loaded).then(|| (upstream.clone(), loaded))
+        self.schedule.mismatches_sent = Some(self.now);
+        let mismatches = self.probes.iter().filter_map(|(upstream, probe)| {
+            let loaded = probe.loaded.clone()?;
+            (self.configured_model(upstream)? != loaded).then(|| (upstream.clone(), loaded))
         });
-        for (upstream, Loaded { model, version }) in wrong.collect::<Vec<_>>() {
+        for (upstream, Loaded { model, version }) in mismatches.collect::<Vec<_>>() {
             let zone = self.fleet.upstream(&upstream).map(|upstream| upstream.zone.clone());
             let holder = zone.and_then(|zone| self.fleet.holder("orders", &zone));
             if let Some(holder) = holder {
@@ -59,25 +61,25 @@
         }
     }
 
-    /// A home told that an engine has the wrong model.
-    pub(crate) fn mismatched(&mut self, upstream: id::Upstream, loaded: Loaded) {
+    /// Records a home's report that an engine has the wrong model.
+    pub(crate) fn record_mismatch(&mut self, upstream: id::Upstream, loaded: Loaded) {
         self.mismatched.insert(upstream, (loaded, self.now));
     }
 
-    /// What an engine should have loaded; `None` if its service leaves that open.
-    fn should_have(&self, upstream: &id::Upstream) -> Option<Loaded> {
+    /// The model that an engine should have loaded; `None` if its service doesn't specify a model and version.
+    fn configured_model(&self, upstream: &id::Upstream) -> Option<Loaded> {
         let known = self.fleet.upstream(upstream)?;
         let service = self.fleet.service(&known.service)?;
         Some(Loaded { model: service.model.clone()?, version: service.version.clone()? })
     }
 
-    /// Engines of this zone that have another model than the configuration says.
+    /// The engines of this zone whose loaded model differs from the configured one.
     fn order_needs(&mut self, zone: &id::Zone) -> Vec<Need> {
         let now = self.now;
-        self.mismatched.retain(|_, (_, told)| now.since(*told) < TELL_TTL);
+        self.mismatched.retain(|_, (_, received)| now.since(*received) < MISMATCH_TTL);
         let need = |upstream: &id::Upstream, loaded: &Loaded| {
             let known = self.fleet.upstream(upstream).filter(|known| &known.zone == zone)?;
-            let load = self.should_have(upstream).filter(|load| load != loaded)?;
+            let load = self.configured_model(upstream).filter(|load| load != loaded)?;
             let checks = self.fleet.service(&known.service)?.checks_orders;
             Some(Need { upstream: upstream.clone(), address: known.address, load, checks })
         };
--- a/crates/stairvale-control/src/handlers/limits.rs
+++ b/crates/stairvale-control/src/handlers/limits.rs
@@ -1,4 +1,5 @@
-//! Customers' rates: what is asked here goes to the keeper of the customer's account, and its word comes back.
+//! Rate limits of customers: each router counts the requests that it receives, reports the counts to the owner of the
+//! customer's account, and gets back the share of them that may pass.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 use crate::{Node, Output};
 
 impl Node {
-    pub(crate) fn asked(&mut self, customer: &id::Customer, passed: bool) {
+    pub(crate) fn count_request(&mut self, customer: &id::Customer, passed: bool) {
         let Some(rate) = self.rate(customer) else {
             return;
         };
@@ -20,25 +21,26 @@
     pub(crate) fn tick_limits(&mut self) {
         let mut frames: BTreeMap<id::Router, Vec<Usage>> = BTreeMap::new();
         for (customer, counted) in self.meter.due(self.now) {
-            let Some(keeper) = self.fleet.keeper(&format!("limits/{customer}")) else {
+            let Some(owner) = self.fleet.keeper(&format!("limits/{customer}")) else {
                 continue;
             };
             let Counted { asked, passed, fraction } = counted;
             let usage = Usage { customer, asked, passed, millionths: fraction.millionths() };
-            frames.entry(keeper).or_default().push(usage);
+            frames.entry(owner).or_default().push(usage);
         }
-        for (keeper, usages) in frames {
-            self.send(&keeper, Frame::Usage(usages));
+        for (owner, usages) in frames {
+            self.send(&owner, Frame::Usage(usages));
         }
         let now = self.now;
         self.limits.retain(|_, account| !account.is_idle(now));
     }
 
-    /// Takes what a router counted into the accounts that are kept here.
-    pub(crate) fn keep_usage(&mut self, from: &id::Router, usages: Vec<Usage>) {
+    /// Adds the counts that a router reported to the accounts that this router owns.
+    pub(crate) fn add_usage(&mut self, from: &id::Router, usages: Vec<Usage>) {
         for Usage { customer, asked, passed, millionths } in usages {
             let Some(rate) = self.rate(&customer) else {
-                // The customer or its rate is gone from the configuration, or hasn't come here yet.
+                // The configuration in force here lacks the customer or its rate: either was removed, or this router has
+                // not received the configuration that adds it.
                 continue;
             };
             let now = self.now;
@@ -51,7 +53,7 @@
         }
     }
 
-    pub(crate) fn share(&mut self, customer: id::Customer, millionths: u32) {
+    pub(crate) fn set_share(&mut self, customer: id::Customer, millionths: u32) {
         let fraction = Fraction::from_millionths(millionths);
         self.meter.set(self.now, &customer, fraction);
         self.outputs.push(Output::Share { customer, fraction });
--- a/crates/stairvale-control/src/handlers/mean_sums.rs
+++ b/crates/stairvale-control/src/handlers/mean_sums.rs
@@ -1,4 +1,4 @@
-//! Loads, sums and means.
+//! Exchange of load reports, zone sums and means with peers.
 
 use stairvale_permit::mean::Sum;
 use stairvale_types::id;
--- a/crates/stairvale-control/src/handlers/members.rs
+++ b/crates/stairvale-control/src/handlers/members.rs
@@ -1,4 +1,4 @@
-//! Routers and the list of VMs.
+//! Membership of routers, the list of VMs, and the exchange of upstreams' status reports.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
 
 use crate::{Event, Node, Output};
 
-/// A peer's hint of a newer list is followed this often at the most.
-const HINT_EVERY: Duration = Duration::from_millis(100);
+/// Minimum interval between two fetches of the list of VMs from peers that announce a newer revision.
+const HINT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Words that differ for so long are not just on their way.
-const WORDS_PATIENCE: Duration = Duration::from_millis(1_000);
-/// All words are asked for this often at the most.
-const WORDS_EVERY: Duration = Duration::from_secs(2);
-/// The job of telling joiners what is known of upstreams.
-const WORDS: &str = "words";
+/// Time for which status digests must differ before status reports are exchanged. A shorter difference is usually due
+/// to reports that are still on their way.
+const DIGEST_MISMATCH_GRACE: Duration = Duration::from_millis(1_000);
+/// Minimum interval between two fetches of all status reports from peers.
+const STATUS_FETCH_INTERVAL: Duration = Duration::from_secs(2);
+/// Name of the per-zone job of sending all status reports to routers that join.
+const STATUS_SYNC_JOB: &str = "words";
 
 impl Node {
     pub(crate) fn swim_effects(&mut self, effects: Vec<swim::Effect>) {
@@ -27,23 +28,23 @@
                 swim::Effect::Send { to, packet } => self.outputs.push(Output::Datagram { to, packet }),
                 swim::Effect::Joined(router) => {
                     changed = true;
-                    self.share_words(&router);
+                    self.send_statuses_to_joined(&router);
                     self.audit(Event::RouterJoined { router });
                 }
                 swim::Effect::Died(router) => {
                     changed = true;
                     let answers = self.home.drop_entry(self.now, &router);
-                    self.answers(answers);
+                    self.send_answers(answers);
                     self.audit(Event::RouterDied { router });
                 }
                 swim::Effect::Leaves(router) => {
                     changed = true;
                     self.audit(Event::RouterLeaves { router });
                 }
-                swim::Effect::Upstream(word) => self.hear(&word),
+                swim::Effect::Upstream(status) => self.apply_status(&status),
                 swim::Effect::Versions { from, generation, vms, words } => {
-                    self.versions(&from, generation, vms);
-                    self.compare_words(&from, words);
+                    self.observe_versions(&from, generation, vms);
+                    self.compare_digests(&from, words);
                 }
             }
         }
@@ -52,58 +53,59 @@
         }
     }
 
-    /// News is passed on only so often, so who was away gets all of it. One router a zone sees to that: to joiners of its
-    /// own zone, and to the other zones' one.
-    pub(crate) fn share_words(&mut self, joined: &id::Router) {
+    /// Sends all status reports to a router that joined. Gossip repeats each update only a limited number of times, so
+    /// a router that was away would miss some. One router per zone does this: for joiners of its own zone, and for the
+    /// routers that do this job in the other zones.
+    pub(crate) fn send_statuses_to_joined(&mut self, joined: &id::Router) {
         let here = self.fleet.zone().clone();
         let there = self.fleet.swim.peer(joined).map(|member| member.zone.clone());
         let Some(there) = there else {
             return;
         };
-        let tells = self.fleet.holder(WORDS, &here).as_ref() == Some(&self.me);
-        let hears = here == there || self.fleet.holder(WORDS, &there).as_ref() == Some(joined);
-        if !tells || !hears {
+        let sends = self.fleet.holder(STATUS_SYNC_JOB, &here).as_ref() == Some(&self.me);
+        let receives = here == there || self.fleet.holder(STATUS_SYNC_JOB, &there).as_ref() == Some(joined);
+        if !sends || !receives {
             return;
         }
-        self.send_words(joined);
+        self.send_statuses(joined);
     }
 
-    pub(crate) fn send_words(&mut self, to: &id::Router) {
-        let words: Vec<_> = self.fleet.upstreams.iter().filter_map(|upstream| upstream.word.clone()).collect();
-        if !words.is_empty() {
-            self.send(to, Frame::Words(words));
+    pub(crate) fn send_statuses(&mut self, to: &id::Router) {
+        let statuses: Vec<_> = self.fleet.upstreams.iter().filter_map(|upstream| upstream.word.clone()).collect();
+        if !statuses.is_empty() {
+            self.send(to, Frame::Words(statuses));
         }
     }
 
-    /// News is passed on only so often and may get lost, so routers compare digests of what they know. A difference that
-    /// lasts is made up for by asking for everything.
-    pub(crate) fn compare_words(&mut self, from: &id::Router, theirs: u64) {
-        if theirs == self.words {
-            self.schedule.words_differ = None;
+    /// Compares a peer's digest of all status reports with this router's. Gossip repeats each update only a limited
+    /// number of times and may lose it, so a difference that lasts is repaired by exchanging all reports.
+    pub(crate) fn compare_digests(&mut self, from: &id::Router, theirs: u64) {
+        if theirs == self.status_digest {
+            self.schedule.digests_differ_since = None;
             return;
         }
-        let since = *self.schedule.words_differ.get_or_insert(self.now);
-        let recent = self.schedule.words_fetched.is_some_and(|at| self.now.since(at) < WORDS_EVERY);
-        if self.now.since(since) >= WORDS_PATIENCE && !recent {
-            self.schedule.words_fetched = Some(self.now);
-            // Whichever of the two knows more, the other learns it, and passes it on as news.
-            self.send_words(from);
+        let since = *self.schedule.digests_differ_since.get_or_insert(self.now);
+        let recent = self.schedule.statuses_fetched.is_some_and(|at| self.now.since(at) < STATUS_FETCH_INTERVAL);
+        if self.now.since(since) >= DIGEST_MISMATCH_GRACE && !recent {
+            self.schedule.statuses_fetched = Some(self.now);
+            // Either side may have the newer reports: each applies those that it lacks and passes them on by gossip.
+            self.send_statuses(from);
             self.send(from, Frame::FetchWords);
         }
     }
 
-    pub(crate) fn versions(&mut self, from: &id::Router, generation: u64, vms: u64) {
-        self.generations.insert(from.clone(), generation);
+    pub(crate) fn observe_versions(&mut self, from: &id::Router, generation: u64, vms: u64) {
+        self.peer_generations.insert(from.clone(), generation);
         let effects = self.config.hear(self.now, from, Generation(generation));
         self.config_effects(effects);
         let newer = vms > self.fleet.upstreams.revision();
-        if newer && self.now.since(self.schedule.vms_hint) >= HINT_EVERY {
-            self.schedule.vms_hint = self.now;
+        if newer && self.now.since(self.schedule.vms_hint_followed) >= HINT_INTERVAL {
+            self.schedule.vms_hint_followed = self.now;
             self.send(from, Frame::FetchVms);
         }
     }
 
-    /// Works out homes anew and moves accounts accordingly.
+    /// Recomputes the homes of all upstreams and takes over or hands over accounts accordingly.
     pub(crate) fn refresh(&mut self) {
         if !self.fleet.refresh() {
             self.outputs.push(Output::FleetChanged);
@@ -115,7 +117,7 @@
         self.outputs.push(Output::FleetChanged);
     }
 
-    pub(crate) fn vms(&mut self, revision: u64, vms: &[Vm]) {
+    pub(crate) fn update_vms(&mut self, revision: u64, vms: &[Vm]) {
         if !self.fleet.upstreams.list(self.now, revision, vms) {
             return;
         }
@@ -124,9 +126,9 @@
         for router in routers {
             self.fleet.swim.introduce(router.address);
         }
-        self.digest_words();
+        self.update_status_digest();
         self.refresh();
-        self.tell_versions();
+        self.announce_versions();
     }
 
     pub(crate) fn send_vms(&mut self, to: &id::Router) {
@@ -147,7 +149,7 @@
         self.send(to, Frame::Vms { revision, vms });
     }
 
-    pub(crate) fn tell_versions(&mut self) {
+    pub(crate) fn announce_versions(&mut self) {
         let generation = self.config.generation().0;
         let revision = self.fleet.upstreams.revision();
         let effects = self.fleet.swim.set_versions(generation, revision);
--- a/crates/stairvale-control/src/handlers/mod.rs
+++ b/crates/stairvale-control/src/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! What a node does with each input, a file a job.
+//! Handlers of a node's inputs, one module for each area.
 
 mod claims;
 mod configuration;
@@ -16,7 +16,7 @@
     pub(crate) fn dispatch(&mut self, input: Input) {
         match input {
             Input::Tick => self.tick(),
-            Input::Frame { from, frame } => self.frame(&from, frame),
+            Input::Frame { from, frame } => self.receive_frame(&from, frame),
             Input::Datagram { from, packet } => {
                 let effects = self.fleet.swim.receive(self.now, from, packet);
                 self.rejoining = false;
@@ -27,25 +27,25 @@
             Input::Rests { upstream, length } => self.fleet.upstreams.rest(self.now, &upstream, length),
             Input::End { attempt, success, unreachable } => self.end(attempt, success, unreachable),
             Input::Claim { key, attempt } => self.claim(key, attempt),
-            Input::Asked { customer, passed } => self.asked(&customer, passed),
+            Input::Asked { customer, passed } => self.count_request(&customer, passed),
             Input::Settle { key, attempt, stored } => self.settle(key, attempt, stored),
             Input::Probed { upstream, report } => self.probed(&upstream, report),
-            Input::Store { purpose, answer } => self.stored(&purpose, answer),
-            Input::Vms(Some((revision, vms))) => self.vms(revision, &vms),
+            Input::Store { purpose, answer } => self.store_answered(&purpose, answer),
+            Input::Vms(Some((revision, vms))) => self.update_vms(revision, &vms),
             Input::Vms(None) => {}
             Input::Accepted { manifest, chunks } => self.accepted(*manifest, chunks),
-            Input::Ordered { upstream, taken } => self.ordered(&upstream, taken),
+            Input::Ordered { upstream, taken } => self.order_answered(&upstream, taken),
             Input::Leave => self.leave(),
         }
     }
 
     pub(crate) fn tick(&mut self) {
-        self.schedule.ticked = Some(self.now);
+        self.schedule.last_tick = Some(self.now);
         let effects = self.fleet.swim.tick(self.now);
         self.swim_effects(effects);
         self.tick_upstreams();
         let answers = self.home.tick(self.now);
-        self.answers(answers);
+        self.send_answers(answers);
         let effects = self.entry.tick(self.now, &self.fleet);
         self.entry_effects(effects);
         self.tick_sums();
--- a/crates/stairvale-control/src/handlers/requests.rs
+++ b/crates/stairvale-control/src/handlers/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: from a wish to a permit, and back.
+//! Callers' requests at their entry: choice of candidate upstreams, permits, and release.
 
 use std::time::Duration;
 
@@ -13,71 +13,72 @@
 
 use crate::{Node, Output, io::Request, node::Policy};
 
-/// When to come back once the retry budget is spent.
-const RETRY_BUDGET: Duration = Duration::from_secs(2);
+/// Retry delay given to callers when the retry budget is spent or the service isn't configured at this router.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Node {
     pub(crate) fn request(&mut self, request: Request) {
         let attempt = request.attempt;
         self.explain.begin(self.now, attempt, &request.profile);
         if request.retry && !self.budget(&request.profile.service).spend() {
-            self.refuse(attempt, Refusal::new(Reason::Budget, RETRY_BUDGET));
+            self.refuse(attempt, Refusal::new(Reason::Budget, RETRY_AFTER));
             return;
         }
-        self.services.insert(attempt, request.profile.service.clone());
-        let Some(want) = self.want(request) else {
-            self.refuse(attempt, Refusal::new(Reason::NotReady, RETRY_BUDGET));
+        self.attempt_services.insert(attempt, request.profile.service.clone());
+        let Some(upstream_request) = self.upstream_request(request) else {
+            self.refuse(attempt, Refusal::new(Reason::NotReady, RETRY_AFTER));
             return;
         };
-        let effects = self.entry.want(self.now, &self.fleet, want);
+        let effects = self.entry.want(self.now, &self.fleet, upstream_request);
         self.entry_effects(effects);
     }
 
-    pub(crate) fn want(&mut self, request: Request) -> Option<Want> {
+    pub(crate) fn upstream_request(&mut self, request: Request) -> Option<Want> {
         let service = self.fleet.service(&request.profile.service)?.clone();
         let is_fleet = self.policy == Policy::Fleet;
-        let keeps_prefix = service.kind == Kind::Model && matches!(self.policy, Policy::Fleet | Policy::Hash);
+        let prefix_affinity = service.kind == Kind::Model && matches!(self.policy, Policy::Fleet | Policy::Hash);
         let random = self.random();
-        let key = request.profile.chat.filter(|_| keeps_prefix).map_or(random, |chat| chat.0);
+        let key = request.profile.chat.filter(|_| prefix_affinity).map_or(random, |chat| chat.0);
         let mut candidates = self.fleet.rank(&request.profile.service, key);
         candidates.retain(|upstream| !request.avoid.contains(upstream));
         if self.policy == Policy::LeastLoaded {
             self.prefer_emptiest(&request.profile.service, &mut candidates);
         }
-        let moves = is_fleet && service.transfer_us_per_token > 0;
+        let transfers = is_fleet && service.transfer_us_per_token > 0;
         let estimate = Estimate {
             rebuild: rebuild(request.prompt, service.prefill_us_per_token),
-            transfer: moves.then(|| rebuild(request.prompt, service.transfer_us_per_token)),
+            transfer: transfers.then(|| rebuild(request.prompt, service.transfer_us_per_token)),
             allowed: if is_fleet { service.prefix_wait } else { Duration::ZERO },
             deadline: request.deadline,
         };
-        let chat = request.profile.chat.filter(|_| keeps_prefix && is_fleet);
-        let returning = request.profile.returning && keeps_prefix;
+        let chat = request.profile.chat.filter(|_| prefix_affinity && is_fleet);
+        let returning = request.profile.returning && prefix_affinity;
         let profile = Profile { chat, returning, ..request.profile };
         Some(Want { attempt: request.attempt, profile, estimate, candidates })
     }
 
-    /// Puts one of the emptiest engines first; which one is left to chance, so that routers don't all rush to it.
+    /// Puts one of the least loaded engines first. The engine is chosen at random among them, so that routers don't all
+    /// send their requests to the same one.
     pub(crate) fn prefer_emptiest(&mut self, service: &id::Service, candidates: &mut [id::Upstream]) {
         let random = usize::try_from(self.random() >> 1).unwrap_or(0);
-        let Some(hints) = self.hints.get(service).filter(|hints| !hints.is_empty()) else {
+        let Some(emptiest) = self.emptiest.get(service).filter(|emptiest| !emptiest.is_empty()) else {
             return;
         };
-        let (pick, _) = &hints[random % hints.len()];
+        let (pick, _) = &emptiest[random % emptiest.len()];
         if let Some(index) = candidates.iter().position(|candidate| candidate == pick) {
             candidates.swap(0, index);
         }
     }
 
     pub(crate) fn refuse(&mut self, attempt: id::Attempt, refusal: Refusal) {
-        self.services.remove(&attempt);
+        self.attempt_services.remove(&attempt);
         self.explain.refused(attempt, refusal, &[]);
         self.outputs.push(Output::Refused { attempt, refusal });
     }
 
     pub(crate) fn end(&mut self, attempt: id::Attempt, success: Option<bool>, unreachable: bool) {
         let upstream = self.entry.upstream_of(attempt).cloned();
-        if let (Some(service), Some(true)) = (self.services.remove(&attempt), success) {
+        if let (Some(service), Some(true)) = (self.attempt_services.remove(&attempt), success) {
             self.budget(&service).earn();
         }
         if let Some(upstream) = upstream {
@@ -120,7 +121,7 @@
         }
     }
 
-    pub(crate) fn answers(&mut self, answers: Vec<HomeAnswer>) {
+    pub(crate) fn send_answers(&mut self, answers: Vec<HomeAnswer>) {
         for HomeAnswer { to, upstream, attempt, mut verdict } in answers {
             if let Verdict::NotHome { home } = &mut verdict {
                 *home = self.fleet.home(&upstream, 0).filter(|home| home != &self.me);
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -1,4 +1,4 @@
-//! Probes of upstreams, and the accounts that are kept here.
+//! Probes of upstreams, their status, and the accounts of the upstreams whose home is this router.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 use crate::{Event, Node, Output, io::Report, node::Policy};
 
-/// How often a home probes its upstreams.
-const PROBE_EVERY: Duration = Duration::from_millis(400);
-/// A probe that isn't answered by then counts as missed.
+/// Interval at which a home probes each of its upstreams.
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
+/// Time after which an upstream whose probe has no outcome yet is probed again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Missed probes in a row after which an upstream counts as unreachable.
-const MISSES: u32 = 2;
+/// Number of consecutive missed probes from which on an upstream counts as unreachable.
+const MAX_MISSED_PROBES: u32 = 2;
 
 fn state_name(state: State) -> &'static str {
     match state {
@@ -31,10 +31,10 @@
             self.home.forget_upstream(upstream);
         }
         if !forgotten.is_empty() {
-            self.digest_words();
+            self.update_status_digest();
             self.refresh();
         }
-        let due: Vec<_> = self.probing.iter().filter(|(_, p)| self.is_probe_due(p)).map(|(u, _)| u.clone()).collect();
+        let due: Vec<_> = self.probes.iter().filter(|(_, p)| self.is_probe_due(p)).map(|(u, _)| u.clone()).collect();
         for upstream in due {
             self.probe(&upstream);
         }
@@ -44,95 +44,97 @@
         }
     }
 
-    pub(crate) fn is_probe_due(&self, probing: &crate::node::Probing) -> bool {
-        let wait = if probing.pending { PROBE_TIMEOUT } else { PROBE_EVERY };
-        probing.asked.is_none_or(|asked| self.now.since(asked) >= wait)
+    pub(crate) fn is_probe_due(&self, probe: &crate::node::ProbeState) -> bool {
+        let interval = if probe.pending { PROBE_TIMEOUT } else { PROBE_INTERVAL };
+        probe.sent.is_none_or(|sent| self.now.since(sent) >= interval)
     }
 
     pub(crate) fn probe(&mut self, upstream: &id::Upstream) {
         let Some(address) = self.fleet.upstream(upstream).map(|u| u.address) else {
             return;
         };
-        let probing = self.probing.entry(upstream.clone()).or_default();
-        probing.asked = Some(self.now);
-        probing.pending = true;
+        let probe = self.probes.entry(upstream.clone()).or_default();
+        probe.sent = Some(self.now);
+        probe.pending = true;
         self.outputs.push(Output::Probe { upstream: upstream.clone(), address });
     }
 
-    /// Works out the digest of all words anew, after any of them changed.
-    pub(crate) fn digest_words(&mut self) {
-        self.words = self.fleet.upstreams.digest();
-        self.fleet.swim.set_words(self.words);
+    /// Recomputes the digest of all status reports after one of them changed.
+    pub(crate) fn update_status_digest(&mut self) {
+        self.status_digest = self.fleet.upstreams.digest();
+        self.fleet.swim.set_words(self.status_digest);
     }
 
     pub(crate) fn probed(&mut self, upstream: &id::Upstream, report: Option<Report>) {
-        let Some(probing) = self.probing.get_mut(upstream) else {
+        let Some(probe) = self.probes.get_mut(upstream) else {
             return;
         };
-        probing.pending = false;
+        probe.pending = false;
         let Some(report) = report else {
-            probing.misses += 1;
-            let missed = probing.misses >= MISSES;
-            let word = self.fleet.upstreams.missed(upstream).filter(|_| missed);
-            if let Some(word) = word {
-                self.hear(&word);
+            probe.misses += 1;
+            let missed = probe.misses >= MAX_MISSED_PROBES;
+            let status = self.fleet.upstreams.missed(upstream).filter(|_| missed);
+            if let Some(status) = status {
+                self.apply_status(&status);
             }
             return;
         };
-        probing.misses = 0;
-        probing.load = Some(report.load);
-        probing.loaded = report.model;
+        probe.misses = 0;
+        probe.load = Some(report.load);
+        probe.loaded = report.model;
         let answers = self.home.report(self.now, upstream, report.load);
-        self.answers(answers);
-        let word = self.fleet.upstreams.reached(upstream, report.boot, report.change, report.state);
-        if let Some(word) = word {
-            self.hear(&word);
+        self.send_answers(answers);
+        let status = self.fleet.upstreams.reached(upstream, report.boot, report.change, report.state);
+        if let Some(status) = status {
+            self.apply_status(&status);
         }
     }
 
-    /// A word of an upstream, from this router's own probe or from a peer; a new one is passed on.
-    pub(crate) fn hear(&mut self, word: &Word) {
-        let before = self.fleet.upstream(&word.upstream).and_then(|u| u.word.as_ref().map(|word| word.state));
-        if !self.fleet.upstreams.hear(self.now, word) {
+    /// Applies a status report of an upstream, from this router's own probe or from a peer, and passes a new one on by
+    /// gossip.
+    pub(crate) fn apply_status(&mut self, status: &Word) {
+        let before = self.fleet.upstream(&status.upstream).and_then(|u| u.word.as_ref().map(|status| status.state));
+        if !self.fleet.upstreams.hear(self.now, status) {
             return;
         }
-        if before != Some(word.state) {
+        if before != Some(status.state) {
             let from = before.map(|state| state_name(state).to_owned());
-            let to = state_name(word.state).to_owned();
-            self.audit(Event::UpstreamChanged { upstream: word.upstream.clone(), from, to });
+            let to = state_name(status.state).to_owned();
+            self.audit(Event::UpstreamChanged { upstream: status.upstream.clone(), from, to });
         }
-        self.digest_words();
-        self.sync_open(&word.upstream);
-        let effects = self.fleet.swim.spread(word.clone());
+        self.update_status_digest();
+        self.sync_open(&status.upstream);
+        let effects = self.fleet.swim.spread(status.clone());
         self.swim_effects(effects);
     }
 
-    /// Takes on the accounts of upstreams whose home is here now, and gives up the others.
+    /// Takes over the accounts of upstreams whose home is this router now, and abandons the others.
     pub(crate) fn move_accounts(&mut self) {
         let mine: Vec<_> =
             self.fleet.homes().filter(|(_, home)| *home == Some(&self.me)).map(|(u, _)| u.clone()).collect();
         let lost: Vec<_> = self.home.upstreams().filter(|upstream| !mine.contains(upstream)).cloned().collect();
         for upstream in lost {
-            self.probing.remove(&upstream);
+            self.probes.remove(&upstream);
             let answers = self.home.abandon(&upstream);
-            self.answers(answers);
+            self.send_answers(answers);
         }
         let mut new = false;
         for upstream in mine {
             let Some(rules) = self.rules(&upstream) else {
                 continue;
             };
-            let load = self.probing.entry(upstream.clone()).or_default().load;
+            let load = self.probes.entry(upstream.clone()).or_default().load;
             new |= self.home.adopt(self.now, upstream.clone(), rules, load);
             self.sync_open(&upstream);
         }
         if new {
-            self.recount();
+            self.request_recounts();
         }
     }
 
-    /// Asks every router what it holds here. Renewals come too seldom to settle an account.
-    pub(crate) fn recount(&mut self) {
+    /// Requests from every router the permits that it holds at this home. Renewals are too infrequent to rebuild an
+    /// account in time.
+    pub(crate) fn request_recounts(&mut self) {
         let routers: Vec<_> = self.fleet.swim.live().map(|member| member.router.clone()).collect();
         for router in routers {
             self.send(&router, Frame::Recount);
@@ -151,9 +153,10 @@
     }
 
     pub(crate) fn sync_open(&mut self, upstream: &id::Upstream) {
-        // As the home: what rests for this router may take work from others.
+        // The home's account serves all routers, so back-off that the upstream requested from this router alone doesn't
+        // close it.
         let usable = self.fleet.takes_work(upstream);
         let answers = self.home.set_open(self.now, upstream, usable);
-        self.answers(answers);
+        self.send_answers(answers);
     }
 }
--- a/crates/stairvale-control/src/io.rs
+++ b/crates/stairvale-control/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and what comes out.
+//! Inputs and outputs of a node.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,275 +10,276 @@
 
 use crate::{Event, orders};
 
-/// A caller's request that wants an upstream.
+/// A caller's request that needs an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The attempt.
+    /// Identifier of this attempt at the request.
     pub attempt: id::Attempt,
-    /// What it is.
+    /// Service, customer, class and chat of the request.
     pub profile: Profile,
-    /// The prompt's size.
+    /// Size of the prompt in tokens.
     pub prompt: unit::Tokens,
-    /// What is left until the deadline.
+    /// Time left until the deadline.
     pub deadline: Duration,
-    /// Whether this is another try after a failure; it needs the retry budget.
+    /// Whether this is a retry after a failure, which spends from the service's retry budget.
     pub retry: bool,
-    /// Upstreams that failed this request.
+    /// Upstreams that failed this request and are excluded from this attempt.
     pub avoid: Vec<id::Upstream>,
 }
 
-/// What an upstream answered to a probe.
+/// An upstream's answer to a probe.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Its life, by its own count.
+    /// The upstream's incarnation, by its own count.
     pub boot: u64,
-    /// Its own count of changes in this life.
+    /// The upstream's own count of state changes in this incarnation.
     pub change: u64,
-    /// What it says it does.
+    /// Whether the upstream serves or drains, by its own report.
     pub state: State,
-    /// Requests outstanding there.
+    /// Number of requests outstanding at the upstream.
     pub load: u32,
-    /// The model it has loaded, with the version, if it is an engine.
+    /// The model and version that the upstream has loaded, if it is an engine.
     pub model: Option<orders::Loaded>,
 }
 
-/// What the store answered.
+/// The store's answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A value and its revision, or that there is none.
+    /// The value of the key and its revision; `None` if the key doesn't exist.
     Value(Option<(String, u64)>),
-    /// The write took effect.
+    /// The write took effect and gave the key this revision.
     Written(u64),
-    /// The revision was another.
+    /// The write had no effect, since the key had another revision than expected.
     Conflict,
-    /// No answer; a write may or may not have taken effect.
+    /// No answer arrived; a write may or may not have taken effect.
     Lost,
 }
 
-/// What a call to the store is for.
+/// Purpose of a call to the store, by which its answer is dispatched.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Purpose {
-    /// The manifest in force.
+    /// Reads the manifest in force.
     Manifest,
-    /// A chunk of a document.
+    /// Reads a chunk of a configuration document.
     Chunk(Digest),
-    /// The record of a claim shard.
+    /// Reads or writes the record of a claim shard.
     Claims(u32),
-    /// A segment of a claim shard.
+    /// Reads or writes a segment of a claim shard; the text is the segment's id.
     Segment(u32, String),
-    /// The order holder's record of an availability zone.
+    /// Acquires or renews the lease for giving orders to an availability zone's engines.
     Orders,
-    /// Chunks that no configuration in force has.
+    /// Deletes chunks that the configuration in force doesn't contain.
     Sweep,
 }
 
-/// A call to the store.
+/// A call to the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// What it is for.
+    /// Purpose of the call.
     pub purpose: Purpose,
-    /// The key.
+    /// Key that the call reads or writes.
     pub key: String,
-    /// Read, or write if the revision is still this.
+    /// Operation to perform on the key.
     pub action: Action,
 }
 
-/// What a call does.
+/// Operation of a call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read.
+    /// Reads the key.
     Read,
-    /// Wait until the revision is another, or some time passed.
+    /// Waits until the key's revision differs from a given one or the store's time limit has passed.
     Watch {
-        /// The revision that is known.
+        /// The revision that the caller has already.
         revision: u64,
     },
-    /// Create a key that lapses after some time.
+    /// Creates a key that expires after some time.
     Create {
-        /// The value.
+        /// The value to write.
         value: String,
-        /// How long it is kept at least.
+        /// Minimum time for which the key is kept.
         keep: Duration,
     },
-    /// Delete a key if its revision is still this.
+    /// Deletes the key if it still has a given revision.
     Delete {
-        /// The revision.
+        /// The expected revision.
         revision: u64,
     },
-    /// Compare and swap; revision zero creates.
+    /// Writes the key if it still has a given revision (compare-and-swap). Revision zero creates the key.
     Write {
-        /// The new value.
+        /// The value to write.
         value: String,
-        /// The revision that it replaces.
+        /// The expected revision.
         revision: u64,
     },
 }
 
-/// Something that happened.
+/// An event that a node handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time passed; comes every [`crate::node::TICK`].
+    /// Time passed. The caller passes this in every [`crate::node::TICK`].
     Tick,
-    /// A peer sent a frame.
+    /// A frame arrived from a peer.
     Frame {
-        /// The peer.
+        /// The peer that sent the frame.
         from: id::Router,
-        /// The frame.
+        /// The received frame.
         frame: Frame,
     },
-    /// A datagram came in.
+    /// A datagram of the membership protocol arrived.
     Datagram {
-        /// Where from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// The received packet.
         packet: Packet,
     },
-    /// The stream to a peer couldn't be opened or broke.
+    /// The stream to a peer could not be opened, or it broke.
     PeerUnreachable(id::Router),
-    /// A request wants an upstream.
+    /// A caller's request needs an upstream.
     Request(Request),
-    /// An upstream turned a request of this router away and wants rest.
+    /// An upstream refused a request of this router and requested that this router back off.
     Rests {
-        /// The upstream.
+        /// The upstream that refused the request.
         upstream: id::Upstream,
-        /// For how long.
+        /// Requested back-off time.
         length: Duration,
     },
-    /// An attempt ended or is given up.
+    /// An attempt ended or was abandoned.
     End {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: id::Attempt,
-        /// Whether the upstream answered as it should; `None` if nothing was tried.
+        /// Whether the upstream answered properly; `None` if no request was sent to it.
         success: Option<bool>,
-        /// Whether the connection failed, which says something of the upstream.
+        /// Whether the connection to the upstream failed, which counts as evidence against the upstream.
         unreachable: bool,
     },
-    /// A request that must not be repeated wants its claim.
+    /// A request that must not be executed twice needs a claim on its idempotency key.
     Claim {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt that will run.
+        /// The attempt that will run if the claim is granted.
         attempt: id::Attempt,
     },
-    /// A request of a customer that has a rate came in here.
+    /// This router received a request of a customer that has a rate limit.
     Asked {
-        /// The customer.
+        /// The customer that sent the request.
         customer: id::Customer,
-        /// Whether it was let pass.
+        /// Whether the request passed the rate limit.
         passed: bool,
     },
-    /// What became of a claimed request.
+    /// A claimed request completed or was not executed.
     Settle {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt.
+        /// The attempt that held the claim.
         attempt: id::Attempt,
-        /// The answer, or `None` if no byte was sent.
+        /// The answer to record; `None` if no byte of the request was sent, which gives the claim back.
         stored: Option<Stored>,
     },
-    /// An upstream was probed; `None` if it didn't answer.
+    /// A probe of an upstream was answered or timed out.
     Probed {
-        /// The upstream.
+        /// The probed upstream.
         upstream: id::Upstream,
-        /// What it said.
+        /// The upstream's answer; `None` if it didn't answer.
         report: Option<Report>,
     },
-    /// The store answered.
+    /// The store answered a call.
     Store {
-        /// What the call was for.
+        /// Purpose of the call.
         purpose: Purpose,
-        /// What it answered.
+        /// The store's answer.
         answer: Answer,
     },
-    /// The platform's list of VMs, or that it couldn't be had.
+    /// The platform's list of VMs with its revision; `None` if fetching it failed.
     Vms(Option<(u64, Vec<Vm>)>),
-    /// This router accepted a configuration; its chunks come along.
+    /// A configuration submitted at this router was accepted.
     Accepted {
-        /// The manifest that was swapped in.
+        /// The manifest that the submission wrote to the store.
         manifest: Box<Manifest>,
-        /// The document's chunks.
+        /// The chunks of the submitted document.
         chunks: Vec<String>,
     },
-    /// An engine answered an order.
+    /// An engine answered an order to load a model.
     Ordered {
-        /// The upstream.
+        /// The engine that answered.
         upstream: id::Upstream,
-        /// Whether it took the order.
+        /// Whether the engine accepted the order.
         taken: bool,
     },
-    /// This router stops as planned.
+    /// This router starts a planned stop.
     Leave,
 }
 
-/// Something to do.
+/// An action that a node requests from the router process.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a frame to a peer.
+    /// Sends a frame to a peer.
     Frame {
-        /// The peer.
+        /// The peer that receives the frame.
         to: id::Router,
-        /// Where it is.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The frame.
+        /// The frame to send.
         frame: Frame,
     },
-    /// Send a datagram.
+    /// Sends a datagram of the membership protocol.
     Datagram {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What it says.
+        /// The packet to send.
         packet: Packet,
     },
-    /// An attempt may use an upstream.
+    /// An attempt received a permit to use an upstream.
     Granted(Grant),
     /// An attempt is refused.
     Refused {
-        /// The attempt.
+        /// The refused attempt.
         attempt: id::Attempt,
-        /// Why.
+        /// Reason of the refusal and time to wait before a retry.
         refusal: Refusal,
     },
-    /// What the record says of a claim.
+    /// A claim request was answered.
     Claimed {
-        /// The attempt that asked.
+        /// The attempt that requested the claim.
         attempt: id::Attempt,
-        /// What it says.
+        /// The answer of the shard's owner.
         verdict: ClaimVerdict,
     },
-    /// The claim's keeper knows what became of an attempt, so its answer may be handed out. May come more than once.
+    /// The owner of the claim's shard has recorded the outcome of an attempt, so the answer may be sent to the caller.
+    /// May be emitted more than once for an attempt.
     Noted {
-        /// The attempt.
+        /// The attempt whose outcome is recorded.
         attempt: id::Attempt,
     },
-    /// The share of a customer's asks that may pass here.
+    /// Sets the share of a customer's requests that may pass the rate limit at this router.
     Share {
-        /// The customer.
+        /// The customer whose rate is limited.
         customer: id::Customer,
-        /// The share.
+        /// The share of the customer's requests that may pass.
         fraction: Fraction,
     },
-    /// Probe an upstream.
+    /// Probes an upstream.
     Probe {
-        /// The upstream.
+        /// The upstream to probe.
         upstream: id::Upstream,
-        /// Where it is.
+        /// Address of the upstream.
         address: SocketAddr,
     },
-    /// Call the store.
+    /// Calls the platform's store.
     Store(Call),
-    /// Ask the platform for its list of VMs.
+    /// Fetches the list of VMs from the platform.
     FetchVms,
-    /// A configuration is in force here.
+    /// A configuration came into force at this router.
     InForce {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// The document.
+        /// Document of the configuration.
         document: Arc<Document>,
     },
-    /// Upstreams' addresses or routers changed: publish them to the traffic threads.
+    /// The upstreams or the routers changed, and the traffic threads need the new view of the fleet.
     FleetChanged,
-    /// Give an engine an order.
+    /// Sends an order to an engine.
     Order(orders::Order),
-    /// Something to keep in the audit trail.
+    /// Writes an event to the audit trail.
     Audit(Event),
 }
--- a/crates/stairvale-control/src/lib.rs
+++ b/crates/stairvale-control/src/lib.rs
@@ -1,7 +1,8 @@
-//! All decision machines of one router, composed and without I/O.
+//! The control logic of one router: a composition of state machines that performs no I/O.
 //!
-//! A [`Node`] takes an [`Input`] and the time, and gives [`Output`]s. The router's shell turns sockets, timers and the
-//! store's answers into inputs, and outputs into frames, datagrams and calls; tests run several nodes against each other.
+//! A [`Node`] takes an [`Input`] and the current time, and returns [`Output`]s. The router process turns socket events,
+//! timers and the store's answers into inputs, and outputs into frames, datagrams and store calls. Tests run several
+//! nodes against each other in simulation.
 //!
 //! ```
 //! use stairvale_control::{Input, Node, node::Settings};
--- a/crates/stairvale-control/src/node.rs
+++ b/crates/stairvale-control/src/node.rs
@@ -1,4 +1,4 @@
-//! A router's decisions in one place.
+//! The node: the composed state machines of one router, their settings and their shared state.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -20,33 +20,34 @@
 
 use crate::{Event, Fleet, Input, Output, explain, generation, orders, stats::Stats, sums::Sums, sweep};
 
-/// How often [`Input::Tick`] comes.
+/// Interval at which the caller passes in [`Input::Tick`].
 pub const TICK: Duration = Duration::from_millis(10);
-/// A node that hasn't run for this long distrusts what it knew.
-pub const PAUSE_LIMIT: Duration = Duration::from_millis(900);
-/// Retries earned with a hundred successes.
-const RETRY_PERCENT: u32 = 10;
-/// Retries in hand at the most.
-const RETRY_CAP: u32 = 20;
-
-/// How engines are chosen; all but `Fleet` are baselines to compare with.
+/// Gap between two ticks from which on the process is taken to have been suspended. Its peers may have declared it dead
+/// meanwhile and taken over its accounts, so the node discards them.
+pub const MAX_TICK_GAP: Duration = Duration::from_millis(900);
+/// Retries that a service's budget gains for every 100 successful requests.
+const RETRY_BUDGET_PERCENT: u32 = 10;
+/// Maximum number of unused retries that a service's budget accumulates.
+const RETRY_BUDGET_CAP: u32 = 20;
+
+/// Strategy for choosing an engine. All strategies but `Fleet` are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Ranked by chat, bounded, with a short wait for the prefix.
+    /// Engines ranked by the chat's hash and bounded in load, with a short wait for the engine that holds the prefix.
     #[default]
     Fleet,
-    /// Any engine.
+    /// An engine chosen at random.
     Random,
-    /// One of the emptiest engines by the latest news.
+    /// One of the least loaded engines according to the latest mean report.
     LeastLoaded,
-    /// Ranked by chat, without a bound.
+    /// Engines ranked by the chat's hash, without a load bound.
     Hash,
 }
 
-/// The text names no policy.
+/// Error returned when a text is not the name of a [`Policy`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("a policy is fleet, random, least-loaded or hash")]
+#[error("unknown policy; expected fleet, random, least-loaded or hash")]
 pub struct PolicyError;
 
 impl FromStr for Policy {
@@ -63,29 +64,29 @@
     }
 }
 
-/// Who a node is.
+/// Identity and settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The router's name.
+    /// Name of this router.
     pub router: id::Router,
-    /// Its availability zone.
+    /// Availability zone of this router.
     pub zone: id::Zone,
-    /// Where peers reach it.
+    /// Address at which peers reach this router.
     pub address: SocketAddr,
-    /// Its life; higher than any earlier one of the same name.
+    /// Incarnation of this process; higher than that of any earlier process of the same name.
     pub incarnation: id::Incarnation,
-    /// First peers.
+    /// Addresses of the peers that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// How it probes.
+    /// Settings of the membership protocol.
     pub swim: swim::Settings,
-    /// How engines are chosen.
+    /// Strategy for choosing an engine.
     pub policy: Policy,
-    /// Decides all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
 impl Settings {
-    /// Settings of a router without peers.
+    /// Settings of a router without peers, with defaults for everything that isn't an argument.
     #[must_use]
     pub fn new(router: id::Router, zone: id::Zone, address: SocketAddr) -> Self {
         Self {
@@ -100,35 +101,35 @@
         }
     }
 
-    /// Sets the first peers.
+    /// Sets the addresses of the peers that are contacted first.
     #[must_use]
     pub fn with_seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// Sets the life.
+    /// Sets the incarnation of this process.
     #[must_use]
     pub fn with_incarnation(mut self, incarnation: id::Incarnation) -> Self {
         self.incarnation = incarnation;
         self
     }
 
-    /// Sets the policy.
+    /// Sets the strategy for choosing an engine.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Sets the seed.
+    /// Sets the seed of the random number generators.
     #[must_use]
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Sets how peers are probed.
+    /// Sets the settings of the membership protocol.
     #[must_use]
     pub fn with_swim(mut self, swim: swim::Settings) -> Self {
         self.swim = swim;
@@ -136,50 +137,50 @@
     }
 }
 
-/// A settled claim on its way to the shard's keeper.
+/// A settlement of a claim that the shard's owner has not acknowledged yet; it is sent again until then.
 #[derive(Clone, Debug)]
 pub(crate) struct Unsettled {
     pub key: id::Key,
     pub attempt: id::Attempt,
     pub stored: Option<Stored>,
     pub sent: Moment,
-    pub left: u16,
+    pub tries_left: u16,
 }
 
-/// A claim that was asked for.
+/// A claim that was requested from the owner of its shard and is not answered yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Claiming {
+pub(crate) struct PendingClaim {
     pub key: id::Key,
-    pub keeper: id::Router,
-    pub asked: Moment,
+    pub owner: id::Router,
+    pub requested: Moment,
 }
 
-/// When regular things happened last.
+/// Times of the latest periodic actions, and the state of the watch on the manifest.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Schedule {
-    pub ticked: Option<Moment>,
-    pub vms: Option<Moment>,
-    pub vms_hint: Moment,
-    pub manifest: Option<Moment>,
+    pub last_tick: Option<Moment>,
+    pub vms_fetched: Option<Moment>,
+    pub vms_hint_followed: Moment,
+    pub manifest_requested: Option<Moment>,
     pub manifest_revision: u64,
-    pub mismatches: Option<Moment>,
-    pub words_differ: Option<Moment>,
-    pub words_fetched: Option<Moment>,
+    pub mismatches_sent: Option<Moment>,
+    pub digests_differ_since: Option<Moment>,
+    pub statuses_fetched: Option<Moment>,
     pub watching: bool,
     pub watch_after: Moment,
 }
 
-/// What is known of probing an upstream whose home is here.
+/// Probe state of an upstream whose home is this router.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Probing {
-    pub asked: Option<Moment>,
+pub(crate) struct ProbeState {
+    pub sent: Option<Moment>,
     pub pending: bool,
     pub misses: u32,
     pub loaded: Option<orders::Loaded>,
     pub load: Option<u32>,
 }
 
-/// All decision machines of one router.
+/// The control logic of one router, composed of its state machines.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) me: id::Router,
@@ -191,26 +192,34 @@
     pub(crate) sums: Sums,
     pub(crate) sweep: sweep::Machine,
     pub(crate) shards: BTreeMap<u32, Shard>,
-    pub(crate) claiming: HashMap<id::Attempt, Claiming>,
+    pub(crate) pending_claims: HashMap<id::Attempt, PendingClaim>,
+    /// Abandoned claims, with the time at which each was abandoned.
     pub(crate) given_up: HashMap<id::Attempt, Moment>,
     pub(crate) unsettled: Vec<Unsettled>,
     pub(crate) meter: limit::Meter,
     pub(crate) limits: BTreeMap<id::Customer, limit::Account>,
     pub(crate) orders: orders::Machine,
-    /// Engines of this zone that have another model than the configuration says, as their homes told.
+    /// Engines of this zone whose model differs from the configured one, with the model they have loaded and the time
+    /// of their home's report.
     pub(crate) mismatched: BTreeMap<id::Upstream, (orders::Loaded, Moment)>,
     pub(crate) budgets: HashMap<id::Service, Budget>,
-    pub(crate) services: HashMap<id::Attempt, id::Service>,
-    pub(crate) hints: HashMap<id::Service, Vec<(id::Upstream, u32)>>,
-    pub(crate) probing: BTreeMap<id::Upstream, Probing>,
-    pub(crate) generations: HashMap<id::Router, u64>,
-    pub(crate) explain: explain::Memory,
-    /// The digest of the words that this router knows.
-    pub(crate) words: u64,
+    /// Services of the attempts under way, to credit their retry budgets.
+    pub(crate) attempt_services: HashMap<id::Attempt, id::Service>,
+    /// Least loaded engines of each service with their load, from the latest mean report.
+    pub(crate) emptiest: HashMap<id::Service, Vec<(id::Upstream, u32)>>,
+    pub(crate) probes: BTreeMap<id::Upstream, ProbeState>,
+    /// Configuration generation that each peer announced last.
+    pub(crate) peer_generations: HashMap<id::Router, u64>,
+    pub(crate) explain: explain::RecentRequests,
+    /// Digest of the status reports of all upstreams, which peers compare with their own.
+    pub(crate) status_digest: u64,
     pub(crate) schedule: Schedule,
+    /// Set after a suspension until a peer's datagram arrives: meanwhile this router answers no permit requests, since
+    /// another one may have become home.
     pub(crate) rejoining: bool,
     pub(crate) leaving: bool,
     pub(crate) rng: ChaCha8Rng,
+    /// Frames that this router sent to itself.
     pub(crate) inbox: VecDeque<Frame>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) now: Moment,
@@ -218,7 +227,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without a configuration, peers or upstreams.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let member = Member {
@@ -240,7 +249,7 @@
             sums: Sums::new(),
             sweep: sweep::Machine::default(),
             shards: BTreeMap::new(),
-            claiming: HashMap::new(),
+            pending_claims: HashMap::new(),
             given_up: HashMap::new(),
             unsettled: Vec::new(),
             meter: limit::Meter::default(),
@@ -248,12 +257,12 @@
             orders: orders::Machine::default(),
             mismatched: BTreeMap::new(),
             budgets: HashMap::new(),
-            services: HashMap::new(),
-            hints: HashMap::new(),
-            probing: BTreeMap::new(),
-            generations: HashMap::new(),
-            explain: explain::Memory::default(),
-            words: 0,
+            attempt_services: HashMap::new(),
+            emptiest: HashMap::new(),
+            probes: BTreeMap::new(),
+            peer_generations: HashMap::new(),
+            explain: explain::RecentRequests::default(),
+            status_digest: 0,
             schedule: Schedule::default(),
             rejoining: false,
             leaving: false,
@@ -268,62 +277,62 @@
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// Whether callers may come: a configuration is in force and the router doesn't stop.
+    /// Whether this router accepts requests: a configuration is in force and the router isn't stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.config.generation() > Generation(0) && !self.leaving
     }
 
-    /// Whether every request and claim has ended.
+    /// Whether no request, claim or unacknowledged settlement is under way.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let shards_idle = self.shards.values().all(Shard::is_idle);
         self.entry.asking() == 0 && self.entry.holding() == 0 && shards_idle && self.unsettled.is_empty()
     }
 
-    /// What this router knows of the fleet.
+    /// This router's view of the fleet.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The accounts that this router keeps.
+    /// The accounts of the upstreams whose home is this router.
     #[must_use]
     pub fn home(&self) -> &Home {
         &self.home
     }
 
-    /// The requests that came in here.
+    /// The state of the requests that this router received as their entry.
     #[must_use]
     pub fn entry(&self) -> &Entry {
         &self.entry
     }
 
-    /// The manifest in force.
+    /// The manifest in force, if there is one.
     #[must_use]
     pub fn manifest(&self) -> Option<&Manifest> {
         self.config.manifest()
     }
 
-    /// The chunks of the document in force, in order.
+    /// The chunks of the document in force, in their order; empty if no configuration is in force.
     #[must_use]
     pub fn chunks(&self) -> Vec<String> {
         self.config.manifest().map(|manifest| self.config.find(&manifest.chunks)).unwrap_or_default()
     }
 
-    /// The generation that a peer told last; zero if none.
+    /// The configuration generation that a peer announced last; zero if it has announced none.
     #[must_use]
     pub fn generation_of(&self, peer: &id::Router) -> u64 {
-        self.generations.get(peer).copied().unwrap_or(0)
+        self.peer_generations.get(peer).copied().unwrap_or(0)
     }
 
-    /// What is remembered of a request or chat.
+    /// Records of the recent requests whose attempt or chat has this number, the latest first.
     #[must_use]
     pub fn explain(&self, number: &str) -> Vec<explain::Record> {
         self.explain.find(number)
     }
 
-    /// All counters.
+    /// A snapshot of all counters of this node.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let home = self.home.counts();
@@ -358,40 +367,41 @@
     }
 
     // ------------------------------------------------------------------------
-    // The one way in.
+    // Input handling.
 
-    /// Takes what happened and says what to do. `now_ms` is the platform's time in milliseconds since 1970.
+    /// Handles an input and returns the resulting outputs. `now_ms` is the platform's time in milliseconds since 1970.
     pub fn handle(&mut self, now: Moment, now_ms: u64, input: Input) -> Vec<Output> {
         self.now = now;
         self.now_ms = now_ms;
         self.fleet.now = now;
-        self.notice_pause();
+        self.detect_pause();
         self.dispatch(input);
         while let Some(frame) = self.inbox.pop_front() {
             let me = self.me.clone();
-            self.frame(&me, frame);
+            self.receive_frame(&me, frame);
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// A stopped and continued process must not act on what it knew.
-    fn notice_pause(&mut self) {
-        let Some(last) = self.schedule.ticked else {
+    /// Detects that the process was suspended by the gap since the last tick. Its state may be outdated then, so it
+    /// discards the accounts and requests recounts before it grants anything again.
+    fn detect_pause(&mut self) {
+        let Some(last) = self.schedule.last_tick else {
             return;
         };
         let paused = self.now.since(last);
-        if paused < PAUSE_LIMIT {
+        if paused < MAX_TICK_GAP {
             return;
         }
-        self.schedule.ticked = Some(self.now);
+        self.schedule.last_tick = Some(self.now);
         let millis = u64::try_from(paused.as_millis()).unwrap_or(u64::MAX);
         self.audit(Event::Paused { millis });
         self.fleet.swim.resumed(self.now);
-        // With nobody else alive there is nobody who could have taken over.
+        // Without a live peer no router can have taken over the accounts.
         self.rejoining = self.fleet.swim.live().count() > 1;
         let answers = self.home.distrust(self.now);
-        self.answers(answers);
-        self.recount();
+        self.send_answers(answers);
+        self.request_recounts();
         let effects = self.entry.homes_changed(self.now, &self.fleet);
         self.entry_effects(effects);
     }
@@ -400,7 +410,7 @@
         self.outputs.push(Output::Audit(event));
     }
 
-    /// Sends a frame to a peer, or to this router itself.
+    /// Sends a frame to a peer, or puts it into the inbox if it is for this router itself.
     pub(crate) fn send(&mut self, to: &id::Router, frame: Frame) {
         if to == &self.me {
             self.inbox.push_back(frame);
@@ -417,7 +427,7 @@
     }
 
     pub(crate) fn budget(&mut self, service: &id::Service) -> &mut Budget {
-        let fresh = || Budget::new(RETRY_PERCENT, RETRY_CAP);
-        self.budgets.entry(service.clone()).or_insert_with(fresh)
+        let new_budget = || Budget::new(RETRY_BUDGET_PERCENT, RETRY_BUDGET_CAP);
+        self.budgets.entry(service.clone()).or_insert_with(new_budget)
     }
 }
--- a/crates/stairvale-control/src/stats.rs
+++ b/crates/stairvale-control/src/stats.rs
@@ -3,48 +3,48 @@
 use serde::Serialize;
 use stairvale_permit::rules::Counts;
 
-/// What a node counted since its start, and what it holds now.
+/// Counters of a node since its start, and gauges of its current state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Stats {
-    /// What its home counted.
+    /// Counters of the accounts of which this router is the home.
     #[serde(flatten)]
     pub home: Counts,
-    /// Permits taken without a home.
+    /// Permits that this router took from its own share because no home answered.
     pub degraded: u64,
-    /// Grants that came too late and were given back.
+    /// Grants that arrived too late and were released.
     pub late: u64,
-    /// Asks that no home answered in time.
+    /// Permit requests that the home didn't answer in time.
     pub unanswered: u64,
-    /// Claims asked for.
+    /// Claims requested from the shards that this router owns.
     pub claims: u64,
-    /// Writes of claim records.
+    /// Writes of claim records to the store.
     pub claim_writes: u64,
     /// Bytes of claim records and segments written.
     pub claim_bytes: u64,
-    /// Segments of claims sealed.
+    /// Claim segments sealed.
     pub claim_segments: u64,
-    /// Claims recognised after a lost answer.
+    /// Claims recognised as written after the store's answer was lost.
     pub claims_recognised: u64,
     /// Claims refused because the store didn't answer.
     pub claims_unavailable: u64,
-    /// Lower generations offered and refused.
+    /// Manifests refused for a lower generation than the one in force.
     pub lower_refused: u64,
-    /// Broken invariants: any but zero is a fault of the program.
+    /// Invariant violations; any value but zero shows a fault of the program.
     pub violations: u64,
     /// Permits held by this router's requests.
     pub holding: usize,
     /// Requests waiting for a permit.
     pub asking: usize,
-    /// Asks waiting at this home.
+    /// Permit requests queued at this home.
     pub waiting: usize,
-    /// Chats remembered as exceptions.
+    /// Chats whose prefix is at another engine than the one ranked first, recorded as exceptions.
     pub exceptions: usize,
-    /// Their bytes.
+    /// Memory used by the exceptions, in bytes.
     pub exception_bytes: usize,
-    /// Routers known to live, this one included.
+    /// Live routers, including this one.
     pub routers: usize,
-    /// Upstreams that may take work.
+    /// Upstreams that may receive new requests.
     pub usable: usize,
-    /// The generation in force.
+    /// Configuration generation in force; zero if there is none.
     pub generation: u64,
 }
--- a/crates/stairvale-control/src/sums.rs
+++ b/crates/stairvale-control/src/sums.rs
@@ -1,8 +1,8 @@
-//! How homes learn the mean: each tells its load to one router of its availability zone, those exchange zone sums,
-//! and each home hears what all *other* homes carry.
+//! Distribution of the mean load to homes. Each home reports its load to the aggregating router of its availability
+//! zone, the aggregating routers exchange zone sums, and each home receives the load of all *other* homes.
 //!
-//! One router a service and availability zone adds up, so a home's traffic doesn't grow with the fleet, and a zone that
-//! is cut off goes on with its own sum.
+//! One router per service and availability zone aggregates, so a home's traffic doesn't grow with the fleet, and a zone
+//! that is cut off continues with its own sum.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,70 +10,75 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::Load;
 
-/// The least time between two reports of one load, sum or mean; docs/MEASUREMENTS.md weighs it against skew.
-pub const REPORT_EVERY: Duration = Duration::from_millis(100);
-/// The time that one mean to one home takes up of the sender's traffic: 70 bytes in 15 ms are below 5 KB/s.
-const MEAN_COST: Duration = Duration::from_millis(15);
-/// An unchanged load is repeated after this long.
-const REPEAT_EVERY: Duration = Duration::from_millis(700);
-/// A load or sum that wasn't repeated for this long no longer counts.
+/// Minimum interval between two reports of one load, sum or mean. Longer intervals cost less traffic but increase the
+/// skew of load between engines.
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between two means of a service for each home of the zone, which bounds the aggregating router's
+/// traffic: 70 bytes in 15 ms are below 5 KB/s.
+const MEAN_INTERVAL_PER_HOME: Duration = Duration::from_millis(15);
+/// Interval at which a load, sum or mean without significant changes is repeated.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(700);
+/// Time after which a load or zone sum that wasn't repeated is dropped.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// A sum that changed by less than one part in so many is only repeated: the mean is off by no more than that.
-const NEWS: u64 = 50;
+/// A sum is significantly changed if it changed by more than one part in this number. Smaller changes are sent with the
+/// next repetition only, so the mean's error stays below that part.
+const SIGNIFICANT_CHANGE_DIVISOR: u64 = 50;
 
-/// More waits for every engine than was told last: this is told so many times sooner, since nobody may grant until it is
-/// heard.
-const PRESSING: u32 = 5;
+/// Divisor of the interval when the number of requests waiting at every engine has increased since the last report: no
+/// home may grant these requests until it receives the new number.
+const URGENT_SPEEDUP: u32 = 5;
 
-/// Something that is told when it has changed enough.
-trait News {
-    /// Whether it differs enough from what was told last.
-    fn is_news(&self, last: &Self) -> bool;
-    /// Whether it lets homes grant what waits everywhere.
-    fn is_pressing(&self, last: &Self) -> bool;
+/// A value that is sent when it has changed enough.
+trait Throttled {
+    /// Whether the value differs significantly from the one sent last.
+    fn is_significant(&self, last: &Self) -> bool;
+    /// Whether the value lets homes grant requests that wait at every engine.
+    fn is_urgent(&self, last: &Self) -> bool;
 }
 
-impl News for Sum {
-    fn is_news(&self, last: &Self) -> bool {
+impl Throttled for Sum {
+    fn is_significant(&self, last: &Self) -> bool {
         let change = self.outstanding.abs_diff(last.outstanding);
-        change * NEWS > last.outstanding || self.engines != last.engines || self.waiting != last.waiting
+        change * SIGNIFICANT_CHANGE_DIVISOR > last.outstanding
+            || self.engines != last.engines
+            || self.waiting != last.waiting
     }
 
-    fn is_pressing(&self, last: &Self) -> bool {
+    fn is_urgent(&self, last: &Self) -> bool {
         self.waiting > last.waiting
     }
 }
 
-impl News for Load {
-    fn is_news(&self, last: &Self) -> bool {
-        sum_of(self).is_news(&sum_of(last))
+impl Throttled for Load {
+    fn is_significant(&self, last: &Self) -> bool {
+        sum_of(self).is_significant(&sum_of(last))
     }
 
-    fn is_pressing(&self, last: &Self) -> bool {
-        sum_of(self).is_pressing(&sum_of(last))
+    fn is_urgent(&self, last: &Self) -> bool {
+        sum_of(self).is_urgent(&sum_of(last))
     }
 }
 
-/// Decides when something is worth sending again.
+/// Decides when a value is due to be sent again.
 #[derive(Clone, Debug)]
-struct Pacer<T> {
+struct Throttle<T> {
     last: Option<(T, Moment)>,
 }
 
-impl<T> Default for Pacer<T> {
+impl<T> Default for Throttle<T> {
     fn default() -> Self {
         Self { last: None }
     }
 }
 
-impl<T: News + Clone> Pacer<T> {
-    fn due(&mut self, now: Moment, value: &T, every: Duration) -> bool {
+impl<T: Throttled + Clone> Throttle<T> {
+    fn due(&mut self, now: Moment, value: &T, interval: Duration) -> bool {
         let due = match &self.last {
             None => true,
-            Some((last, at)) if !value.is_news(last) => now.since(*at) >= REPEAT_EVERY,
-            Some((last, at)) if value.is_pressing(last) => now.since(*at) >= every / PRESSING,
-            Some((_, at)) => now.since(*at) >= every,
+            Some((last, at)) if !value.is_significant(last) => now.since(*at) >= REPEAT_INTERVAL,
+            Some((last, at)) if value.is_urgent(last) => now.since(*at) >= interval / URGENT_SPEEDUP,
+            Some((_, at)) => now.since(*at) >= interval,
         };
         if due {
             self.last = Some((value.clone(), now));
@@ -82,76 +87,76 @@
     }
 }
 
-/// What the adding router of a service knows.
+/// The loads of a service as its aggregating router in one availability zone received them.
 #[derive(Debug, Default)]
-struct Adder {
+struct Aggregator {
     homes: BTreeMap<id::Router, (Load, Moment)>,
     zones: BTreeMap<id::Zone, (Load, Moment)>,
-    zone_pacer: Pacer<Load>,
-    mean_pacers: BTreeMap<id::Router, Pacer<Sum>>,
+    zone_throttle: Throttle<Load>,
+    mean_throttles: BTreeMap<id::Router, Throttle<Sum>>,
 }
 
-/// A sum to send.
+/// A load, sum or mean to send.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// This home's load, to the adding router of its zone.
+    /// This home's load, for the aggregating router of its zone.
     Report(Load),
-    /// This zone's sum, to the adding routers of the other zones.
+    /// This zone's sum, for the aggregating routers of the other zones.
     ZoneSum(Load),
-    /// To a home: what all others carry.
+    /// The load of all other homes' engines, for one home.
     Mean {
-        /// The home.
+        /// The home that receives the load.
         to: id::Router,
-        /// The service.
+        /// The service that the load is of.
         service: id::Service,
-        /// What others' engines carry.
+        /// Load of all engines whose home is another router.
         others: Sum,
-        /// The emptiest engines of all.
+        /// The least loaded engines of the service with their load.
         emptiest: Vec<(id::Upstream, u32)>,
     },
 }
 
-/// The sums that pass through one router.
+/// The loads that one router reports as a home and aggregates for its zone.
 #[derive(Debug, Default)]
 pub struct Sums {
-    own: BTreeMap<id::Service, Pacer<Load>>,
-    sums: BTreeMap<id::Service, Adder>,
+    own_throttles: BTreeMap<id::Service, Throttle<Load>>,
+    aggregators: BTreeMap<id::Service, Aggregator>,
 }
 
 impl Sums {
-    /// No sums yet.
+    /// Creates the state of a router that hasn't sent or received a load.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A home or an adding router told its load.
-    pub fn hear(&mut self, now: Moment, from: &id::Router, load: Load) {
-        let sum = self.sums.entry(load.service.clone()).or_default();
+    /// Handles a load received from a home of this zone, or the sum of another zone from its aggregating router.
+    pub fn receive(&mut self, now: Moment, from: &id::Router, load: Load) {
+        let aggregator = self.aggregators.entry(load.service.clone()).or_default();
         match load.zone.clone() {
-            None => sum.homes.insert(from.clone(), (load, now)),
-            Some(zone) => sum.zones.insert(zone, (load, now)),
+            None => aggregator.homes.insert(from.clone(), (load, now)),
+            Some(zone) => aggregator.zones.insert(zone, (load, now)),
         };
     }
 
-    /// This router's own homes carry these loads; what is due goes out.
+    /// Returns the reports that are due now. `own` has the load of each service at this home.
     pub fn tick(&mut self, now: Moment, zone: &id::Zone, own: Vec<Load>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for load in own {
-            let pacer = self.own.entry(load.service.clone()).or_default();
-            if pacer.due(now, &load, REPORT_EVERY) {
+            let throttle = self.own_throttles.entry(load.service.clone()).or_default();
+            if throttle.due(now, &load, REPORT_INTERVAL) {
                 effects.push(Effect::Report(load));
             }
         }
-        for (service, sum) in &mut self.sums {
-            effects.extend(sum.tick(now, service, zone));
+        for (service, aggregator) in &mut self.aggregators {
+            effects.extend(aggregator.tick(now, service, zone));
         }
-        self.sums.retain(|_, sum| !sum.homes.is_empty() || !sum.zones.is_empty());
+        self.aggregators.retain(|_, aggregator| !aggregator.homes.is_empty() || !aggregator.zones.is_empty());
         effects
     }
 }
 
-impl Adder {
+impl Aggregator {
     fn tick(&mut self, now: Moment, service: &id::Service, zone: &id::Zone) -> Vec<Effect> {
         self.homes.retain(|_, (_, at)| now.since(*at) < REPORT_TTL);
         self.zones.retain(|_, (_, at)| now.since(*at) < REPORT_TTL);
@@ -159,26 +164,26 @@
             return Vec::new();
         }
         let mut effects = Vec::new();
-        let own = add(service, Some(zone), self.homes.values().map(|(load, _)| load));
-        let every = self.means_every();
-        if self.zone_pacer.due(now, &own, every) {
+        let own = sum_loads(service, Some(zone), self.homes.values().map(|(load, _)| load));
+        let interval = self.mean_interval();
+        if self.zone_throttle.due(now, &own, interval) {
             effects.push(Effect::ZoneSum(own.clone()));
         }
         let others: Vec<_> = self.zones.iter().filter(|(other, _)| *other != zone).map(|(_, (load, _))| load).collect();
-        let emptiest = add(service, None, others.iter().copied().chain(std::iter::once(&own))).emptiest;
+        let emptiest = sum_loads(service, None, others.iter().copied().chain(std::iter::once(&own))).emptiest;
         let elsewhere = others.into_iter().map(sum_of).fold(Sum::default(), Sum::plus);
         effects.extend(self.means(now, service, elsewhere, &emptiest));
         effects
     }
 
-    /// With many homes each hears less often, so that what this router sends stays bounded. The mean of many engines
-    /// moves slowly.
-    fn means_every(&self) -> Duration {
+    /// Interval between two means to one home. It grows with the number of homes so that this router's traffic stays
+    /// bounded; the mean of many engines changes slowly.
+    fn mean_interval(&self) -> Duration {
         let homes = u32::try_from(self.homes.len()).unwrap_or(u32::MAX);
-        REPORT_EVERY.max(MEAN_COST.saturating_mul(homes))
+        REPORT_INTERVAL.max(MEAN_INTERVAL_PER_HOME.saturating_mul(homes))
     }
 
-    /// Tells each home what all others carry: `elsewhere`, and the other homes of this zone.
+    /// The means that are due: for each home the load `elsewhere` plus that of the other homes of this zone.
     fn means(
         &mut self,
         now: Moment,
@@ -186,15 +191,15 @@
         elsewhere: Sum,
         emptiest: &[(id::Upstream, u32)],
     ) -> Vec<Effect> {
-        let every = self.means_every();
+        let interval = self.mean_interval();
         let homes = &self.homes;
-        self.mean_pacers.retain(|home, _| homes.contains_key(home));
+        self.mean_throttles.retain(|home, _| homes.contains_key(home));
         let mut effects = Vec::new();
         for to in homes.keys() {
-            let near = homes.iter().filter(|(home, _)| *home != to).map(|(_, (load, _))| sum_of(load));
-            let others = near.fold(elsewhere, Sum::plus);
-            let pacer = self.mean_pacers.entry(to.clone()).or_default();
-            if pacer.due(now, &others, every) {
+            let same_zone = homes.iter().filter(|(home, _)| *home != to).map(|(_, (load, _))| sum_of(load));
+            let others = same_zone.fold(elsewhere, Sum::plus);
+            let throttle = self.mean_throttles.entry(to.clone()).or_default();
+            if throttle.due(now, &others, interval) {
                 let (to, service, emptiest) = (to.clone(), service.clone(), emptiest.to_vec());
                 effects.push(Effect::Mean { to, service, others, emptiest });
             }
@@ -207,7 +212,7 @@
     Sum { outstanding: load.outstanding, engines: load.engines, waiting: load.waiting }
 }
 
-fn add<'a>(service: &id::Service, zone: Option<&id::Zone>, loads: impl Iterator<Item = &'a Load>) -> Load {
+fn sum_loads<'a>(service: &id::Service, zone: Option<&id::Zone>, loads: impl Iterator<Item = &'a Load>) -> Load {
     let loads: Vec<_> = loads.collect();
     let sum = loads.iter().map(|load| sum_of(load)).fold(Sum::default(), Sum::plus);
     let emptiest = loads.into_iter().flat_map(|load| load.emptiest.iter().cloned()).collect();
--- a/crates/stairvale-control/src/sweep.rs
+++ b/crates/stairvale-control/src/sweep.rs
@@ -1,8 +1,10 @@
-//! Chunks of earlier configurations are deleted from the platform's store, or it would grow for ever.
+//! Deletion of unused chunks: chunks of earlier configurations are deleted from the platform's store, which would grow
+//! without limit otherwise.
 //!
-//! A submission may bring a chunk back at any moment, so a chunk is deleted only at the revision that it had ten minutes before
-//! the manifest was last seen without it. A submission writes every chunk anew that the manifest before it lacks, which gives
-//! it another revision, and is decided long before ten minutes are over.
+//! A submission may use an old chunk again at any moment, so a chunk is deleted only if it still has the revision that
+//! was read ten minutes before the manifest was found not to contain it. A submission rewrites every chunk that the
+//! previous manifest lacks, which gives the chunk another revision, and it is decided long before ten minutes have
+//! passed.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,31 +13,32 @@
 
 use crate::io::Answer;
 
-/// A chunk is left alone for this long after its document went: routers that lag may still fetch it.
+/// Time for which a chunk is kept after its document went out of force, since routers that lag may still fetch it.
 pub const KEEP: Duration = Duration::from_secs(1_800);
-/// Between looking up a chunk's revision and looking whether the manifest lacks it. A submission takes seconds.
+/// Delay between reading a chunk's revision and checking that the manifest lacks the chunk. It has to exceed the
+/// duration of a submission, which takes seconds.
 pub const HOLD: Duration = Duration::from_secs(600);
-/// Chunks that are deleted together.
-const BATCH: usize = 64;
-/// Chunks that are remembered; beyond this some are never deleted.
+/// Maximum number of chunks that one sweep deletes.
+const BATCH_SIZE: usize = 64;
+/// Maximum number of chunks that wait to be deleted. Chunks beyond it are never deleted.
 const MAX_RETIRED: usize = 4_096;
-/// After a lost answer the sweep starts anew this much later.
-const PAUSE: Duration = Duration::from_secs(60);
+/// Delay before a sweep restarts after a call to the store failed.
+const RETRY_DELAY: Duration = Duration::from_secs(60);
 
 /// A call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wish {
-    /// Look up a chunk's revision.
+    /// Reads a chunk's revision.
     ReadChunk(Digest),
-    /// Look which chunks are in force.
+    /// Reads the manifest to find the chunks in force.
     ReadManifest,
-    /// Delete a chunk if its revision is still this.
+    /// Deletes a chunk if it still has this revision.
     Delete(Digest, u64),
 }
 
-/// A chunk at the revision that was looked up.
+/// A chunk that may be deleted, with the revision that was read.
 #[derive(Clone, Copy, Debug)]
-struct Found {
+struct Candidate {
     chunk: Digest,
     revision: u64,
 }
@@ -44,34 +47,36 @@
 enum Phase {
     #[default]
     Idle,
-    /// The last of these is being looked up.
+    /// The revision of the last of these chunks is being read.
     Reading(Vec<Digest>),
+    /// All revisions have been read; the delay runs since this time.
     Holding(Moment),
+    /// The manifest is being read.
     Checking,
-    /// The last of the batch is being deleted.
+    /// The last chunk of the batch is being deleted.
     Deleting,
 }
 
-/// What this router knows of chunks that went, and the sweep, if this router does it.
+/// State machine of the sweep. Every router records the chunks that went out of use; one of them deletes them.
 #[derive(Debug, Default)]
 pub struct Machine {
     chunks: Vec<Digest>,
     retired: BTreeMap<Digest, Moment>,
     phase: Phase,
-    batch: Vec<Found>,
-    pause_until: Moment,
-    /// Chunks deleted.
+    batch: Vec<Candidate>,
+    retry_at: Moment,
+    /// Number of chunks that this router deleted.
     pub deleted: u64,
 }
 
 impl Machine {
-    /// Chunks that wait to be deleted.
+    /// Number of unused chunks that are not deleted yet.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.retired.len()
     }
 
-    /// A manifest is in force here.
+    /// Records that a manifest came into force: chunks that it lacks are due for deletion later.
     pub fn in_force(&mut self, now: Moment, manifest: &Manifest) {
         let before = std::mem::replace(&mut self.chunks, manifest.chunks.clone());
         for chunk in before.into_iter().filter(|chunk| !self.chunks.contains(chunk)) {
@@ -82,14 +87,15 @@
         self.retired.retain(|chunk, _| !manifest.chunks.contains(chunk));
     }
 
-    /// Lets time pass; `chosen` says whether this router sweeps.
+    /// Advances the time and returns the next call to the store, if any. `chosen` states whether this router is the one
+    /// that sweeps.
     pub fn tick(&mut self, now: Moment, chosen: bool) -> Option<Wish> {
         if !chosen {
             self.phase = Phase::Idle;
             return None;
         }
         match &self.phase {
-            Phase::Idle if now >= self.pause_until => self.begin(now),
+            Phase::Idle if now >= self.retry_at => self.begin(now),
             Phase::Holding(since) if now.since(*since) >= HOLD => {
                 self.phase = Phase::Checking;
                 Some(Wish::ReadManifest)
@@ -98,7 +104,7 @@
         }
     }
 
-    /// The store answered.
+    /// Handles the store's answer to the latest call and returns the next call, if any.
     pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Wish> {
         match (std::mem::take(&mut self.phase), answer) {
             (Phase::Reading(left), Answer::Value(value)) => self.found(now, left, value.as_ref()),
@@ -112,7 +118,7 @@
             }
             (Phase::Idle | Phase::Holding(_), _) => None,
             (Phase::Reading(_) | Phase::Checking | Phase::Deleting, _) => {
-                self.pause_until = now + PAUSE;
+                self.retry_at = now + RETRY_DELAY;
                 None
             }
         }
@@ -122,7 +128,7 @@
 
     fn begin(&mut self, now: Moment) -> Option<Wish> {
         let due = self.retired.iter().filter(|(_, retired)| now.since(**retired) >= KEEP);
-        let due: Vec<_> = due.map(|(chunk, _)| *chunk).take(BATCH).collect();
+        let due: Vec<_> = due.map(|(chunk, _)| *chunk).take(BATCH_SIZE).collect();
         self.batch.clear();
         let first = *due.last()?;
         self.phase = Phase::Reading(due);
@@ -132,7 +138,7 @@
     fn found(&mut self, now: Moment, mut left: Vec<Digest>, value: Option<&(String, u64)>) -> Option<Wish> {
         let chunk = left.pop()?;
         match value {
-            Some((_, revision)) => self.batch.push(Found { chunk, revision: *revision }),
+            Some((_, revision)) => self.batch.push(Candidate { chunk, revision: *revision }),
             None => drop(self.retired.remove(&chunk)),
         }
         let Some(next) = left.last().copied() else {
@@ -143,7 +149,7 @@
         Some(Wish::ReadChunk(next))
     }
 
-    /// What is in force again stays.
+    /// Drops the chunks that are in force again, and starts to delete the others.
     fn check(&mut self, manifest: &str) -> Option<Wish> {
         let Ok(manifest) = serde_json::from_str::<Manifest>(manifest) else {
             return None;
