--- a/crates/stairvale-control/src/io.rs
+++ b/crates/stairvale-control/src/io.rs
@@ -203,7 +203,7 @@
     Ordered {
         /// The engine that answered.
         upstream: id::Upstream,
-        /// Whether the engine accepted the order.
+        /// Whether the engine accepted the order; false also if it did not answer.
         taken: bool,
     },
     /// This router starts a planned stop.
