--- a/crates/stairvale-admission/benches/queue.rs
+++ b/crates/stairvale-admission/benches/queue.rs
@@ -1,4 +1,4 @@
-//! A push and a pop, by how many wait. The queue scans, which is why it is bounded.
+//! The time of a push and a pop by the number of queued items. The queue scans its items, which is why it is bounded.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,15 +10,15 @@
 }
 
 #[divan::bench(args = [8, 64, 512])]
-fn push_and_pop(bencher: divan::Bencher, waiting: usize) {
-    let mut queue = Queue::new(waiting + 1);
+fn push_and_pop(bencher: divan::Bencher, queued: usize) {
+    let mut queue = Queue::new(queued + 1);
     let customers: Vec<id::Customer> = (0..10).map(|n| format!("customer-{n}").parse().unwrap()).collect();
     let until = Moment::from_millis(60_000);
     let item = |n: usize| Item::new(n, customers[n % 10].clone(), Class::ALL[n % 3], until);
-    for number in 0..waiting {
+    for number in 0..queued {
         queue.push(Moment::ZERO, item(number)).unwrap();
     }
-    let mut number = waiting;
+    let mut number = queued;
     bencher.bench_local(|| {
         number += 1;
         queue.push(Moment::ZERO, item(number)).unwrap();
--- a/crates/stairvale-admission/examples/limits.rs
+++ b/crates/stairvale-admission/examples/limits.rs
@@ -1,5 +1,5 @@
-//! What passes of a customer's asks, with the account, and with the way before it: each router an even part of the rate,
-//! at least one a second.
+//! Compares the rate at which a customer's requests pass under a fleet-wide account with that under a static split, in
+//! which each router gets an even part of the rate, at least one request a second.
 //!
 //! `cargo run --release -p stairvale-admission --example limits`
 
@@ -11,46 +11,46 @@
 
 use std::time::Duration;
 
-use crowd::{Crowd, Outcome, Shape};
+use crowd::{Outcome, Scenario, Simulation};
 
-const SETTLE: Duration = Duration::from_secs(6);
-const LONG: Duration = Duration::from_secs(120);
+const SETTLE_SPAN: Duration = Duration::from_secs(6);
+const MEASURED_SPAN: Duration = Duration::from_secs(120);
 
 fn main() {
     println!(
-        "| routers | that are used | rate/s | asked, times the rate | passed before, times the rate | passed now | in the first 6 s now, seconds of the rate | messages/s to the keeper | from it |"
+        "| routers | receiving requests | rate/s | offered, times the rate | passed with static split, times the rate | passed with account, times the rate | passed in the first 6 s with account, seconds of the rate | messages/s to the account's owner | messages/s from it |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (routers, used) in [(9, 9), (9, 1), (370, 370), (370, 3)] {
+    for (routers, used_routers) in [(9, 9), (9, 1), (370, 370), (370, 3)] {
         for rate in [5.0, 20.0, 200.0] {
             for times in [0.7, 2.0, 10.0] {
-                row(Shape { rate, asked: rate * times, routers, used, seed: 1 });
+                row(Scenario { rate, offered_rate: rate * times, routers, used_routers, seed: 1 });
             }
         }
     }
 }
 
-fn row(shape: Shape) {
-    let mut crowd = Crowd::new(shape);
-    let first = crowd.run(SETTLE);
-    let Outcome { passed, usages, shares, .. } = crowd.run(LONG);
-    let seconds = LONG.as_secs_f64();
-    let Shape { rate, asked, routers, used, .. } = shape;
+fn row(scenario: Scenario) {
+    let mut simulation = Simulation::new(scenario);
+    let first = simulation.run(SETTLE_SPAN);
+    let Outcome { passed, usage_messages, share_messages, .. } = simulation.run(MEASURED_SPAN);
+    let measured_seconds = MEASURED_SPAN.as_secs_f64();
+    let Scenario { rate, offered_rate, routers, used_routers, .. } = scenario;
     println!(
-        "| {routers} | {used} | {rate} | {:.1} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} |",
-        asked / rate,
-        before(shape) / rate,
-        f64::from(passed) / seconds / rate,
+        "| {routers} | {used_routers} | {rate} | {:.1} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} |",
+        offered_rate / rate,
+        static_split_rate(scenario) / rate,
+        f64::from(passed) / measured_seconds / rate,
         f64::from(first.passed) / rate,
-        f64::from(usages) / seconds,
-        f64::from(shares) / seconds,
+        f64::from(usage_messages) / measured_seconds,
+        f64::from(share_messages) / measured_seconds,
     );
 }
 
-/// What passed a second when each router had an even part, rounded up to at least one a second.
+/// The requests a second that pass when each router gets an even part of the rate, rounded up to at least one a second.
 #[allow(clippy::cast_precision_loss)]
-fn before(shape: Shape) -> f64 {
-    let part = (shape.rate / shape.routers as f64).ceil().max(1.0);
-    let asked = shape.asked / shape.used as f64;
-    part.min(asked) * shape.used as f64
+fn static_split_rate(scenario: Scenario) -> f64 {
+    let part = (scenario.rate / scenario.routers as f64).ceil().max(1.0);
+    let offered = scenario.offered_rate / scenario.used_routers as f64;
+    part.min(offered) * scenario.used_routers as f64
 }
--- a/crates/stairvale-admission/src/budget.rs
+++ b/crates/stairvale-admission/src/budget.rs
@@ -1,36 +1,38 @@
-//! Retries are bounded to a share of successes, so that a sick service is not stormed.
+//! Retry budgets, which limit retries to a share of the successful requests, so that a failing service isn't overloaded
+//! with retries.
 
-/// A budget of retries, in thousandths of a retry.
+/// A retry budget, counted in thousandths of a retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    earned: u32,
+    balance: u32,
     per_success: u32,
     cap: u32,
 }
 
-/// What one retry costs.
-const RETRY: u32 = 1_000;
+/// Cost of one retry, in thousandths of a retry.
+const RETRY_COST: u32 = 1_000;
 
 impl Budget {
-    /// A budget that earns `percent` hundredths of a retry with each success and holds at most `cap` retries.
+    /// Creates a full budget that earns `percent` hundredths of a retry with each success and holds at most `cap`
+    /// retries.
     #[must_use]
     pub const fn new(percent: u32, cap: u32) -> Self {
-        let cap = cap * RETRY;
-        Self { earned: cap, per_success: percent * RETRY / 100, cap }
+        let cap = cap * RETRY_COST;
+        Self { balance: cap, per_success: percent * RETRY_COST / 100, cap }
     }
 
-    /// A request succeeded.
+    /// Adds what one successful request earns.
     pub fn earn(&mut self) {
-        self.earned = (self.earned + self.per_success).min(self.cap);
+        self.balance = (self.balance + self.per_success).min(self.cap);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     #[must_use]
     pub fn spend(&mut self) -> bool {
-        let Some(left) = self.earned.checked_sub(RETRY) else {
+        let Some(left) = self.balance.checked_sub(RETRY_COST) else {
             return false;
         };
-        self.earned = left;
+        self.balance = left;
         true
     }
 }
--- a/crates/stairvale-admission/src/lib.rs
+++ b/crates/stairvale-admission/src/lib.rs
@@ -1,8 +1,9 @@
-//! Who goes first, and who is told to come back.
+//! Admission control: the order in which requests are served, and which ones are refused and should retry later.
 //!
-//! [`Queue`] is bounded, serves classes strictly but ages what waits, and shares turns among customers by weight.
-//! [`Shares`] tells what each customer's part of the slots is, so that a surge leaves room for others.
-//! [`limit`] keeps a customer's rate over the whole fleet. [`Budget`] bounds retries to a share of successes. [`Pace`] predicts a wait.
+//! [`queue`] has a bounded queue that serves classes in strict priority, ages waiting items, and shares service among
+//! customers by weight. [`shares`] computes each customer's share of an upstream's slots, so that a burst of one
+//! customer leaves room for others. [`limit`] enforces a customer's rate over the whole fleet. [`budget`] limits retries
+//! to a share of successful requests. [`pace`] predicts queueing times.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/stairvale-admission/src/limit.rs
+++ b/crates/stairvale-admission/src/limit.rs
@@ -1,185 +1,190 @@
-//! A customer's rate over the whole fleet, though every router sees only a part of what the customer asks.
+//! Rate limits that hold over the whole fleet, although each router sees only some of a customer's requests.
 //!
-//! One router keeps the customer's [`Account`]; the others tell it now and then what was asked of them. While the
-//! customer stays within its rate nobody is told anything. Beyond it, the account says which share of asks may be let
-//! through, the same for every router, and each router's [`Share`] lets just that through. A router needs no account of
-//! the others, and it doesn't matter how unevenly a balancer spreads the customer's connections.
+//! One router owns the customer's [`Account`]; the other routers report to it now and then how many requests they
+//! received. While the customer stays within its rate, the owner sends nothing back. Beyond the rate, the account
+//! computes which share of the requests may pass, the same for every router, and each router's [`Share`] lets just that
+//! share through. A router needs no information about the other routers, and it doesn't matter how unevenly a load
+//! balancer spreads the customer's connections.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use stairvale_types::{Moment, id, unit};
 
-/// How quickly the measured rate follows: its time constant. Shorter follows a surge sooner and errs more at low rates.
-const FOLLOW: Duration = Duration::from_secs(1);
-/// Requests that an account lets through beyond its rate at once, as seconds of the rate.
-const BURST: Duration = Duration::from_secs(2);
-/// The least burst in requests, so that a small rate doesn't refuse a few requests that come together by chance.
+/// Time constant of the exponential average of the request rate. A shorter one follows a burst sooner, but its estimate
+/// is noisier at low rates.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Burst allowance of an account, as the time in which that many requests arrive at the configured rate.
+const BURST_WINDOW: Duration = Duration::from_secs(2);
+/// Minimum burst allowance in requests, so that a low rate doesn't refuse a few requests that coincide by chance.
 const MIN_BURST: f64 = 20.0;
-/// What was let through too much, or is left of the burst, is evened out over this time.
-const EVEN_OUT: Duration = Duration::from_secs(5);
-/// A new account doesn't know yet what is asked, so for this long routers keep the share that they were told before.
-const LEARN: Duration = Duration::from_secs(1);
-/// A router is told again if the share changed by more than this part of it.
-const NEWS: f64 = 0.1;
-/// A share that wasn't told again for this long is forgotten: everything passes. Long, because of many routers each may
-/// see a customer only now and then.
+/// Time over which an excess of passed requests, or what is left of the burst allowance, is evened out.
+const CORRECTION_WINDOW: Duration = Duration::from_secs(5);
+/// Time for which a new account leaves routers at the share they already have, since its estimate of the rate isn't
+/// reliable yet.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// Relative change of a share above which a router is sent the new share.
+const UPDATE_THRESHOLD_RATIO: f64 = 0.1;
+/// Time after which a share that wasn't sent again expires and all requests pass. It is long because each of many
+/// routers may receive requests of a customer only now and then.
 pub const SHARE_TTL: Duration = Duration::from_secs(60);
-/// A share that was told longer ago than this is asked for again.
-const ASK_AGAIN: Duration = Duration::from_secs(30);
-/// An account that nobody asked of for this long is forgotten.
-const IDLE: Duration = Duration::from_secs(60);
-/// Asks that weren't told yet are told after this long.
-const TELL_USAGE: Duration = Duration::from_secs(1);
-/// Asks are told at once when there are more than the router's even part of the rate over this time.
-const URGENT: Duration = Duration::from_millis(250);
-/// The soonest and the latest time to tell a refused caller to come back.
-const RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
-/// Shares are told in millionths.
-const MILLION: f64 = 1e6;
-
-/// The share of a customer's asks that may pass, from 0 to 1.
+/// Age at which a router requests its share again.
+const SHARE_REFRESH_AGE: Duration = Duration::from_secs(30);
+/// Time without usage reports after which an account is idle and may be removed.
+const ACCOUNT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval after which requests that were counted but not yet reported are reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// A router reports at once when it has counted more requests than its even part of the rate over this time.
+const EARLY_REPORT_WINDOW: Duration = Duration::from_millis(250);
+/// Minimum and maximum time after which a refused caller may retry.
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
+/// Number of millionths, the unit of shares in messages, in a whole.
+const MILLIONTHS: f64 = 1e6;
+
+/// The share of a customer's requests that may pass, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Fraction(f64);
 
 impl Fraction {
-    /// Everything passes.
+    /// All requests pass.
     pub const ALL: Self = Self(1.0);
 
-    /// From millionths; more than a million is one.
+    /// Converts from millionths; values above one million become 1.
     #[must_use]
     pub fn from_millionths(millionths: u32) -> Self {
-        Self((f64::from(millionths) / MILLION).min(1.0))
+        Self((f64::from(millionths) / MILLIONTHS).min(1.0))
     }
 
-    /// In millionths.
+    /// Converts to millionths, rounded to the nearest.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn millionths(self) -> u32 {
-        (self.0 * MILLION).round() as u32
+        (self.0 * MILLIONTHS).round() as u32
     }
 
-    /// Whether it differs enough from what was told to be told again.
-    fn is_news(self, told: Self) -> bool {
-        (self.0 - told.0).abs() > NEWS * told.0 || (self == Self::ALL) != (told == Self::ALL)
+    /// Whether this share differs enough from the one that a router applies for the router to be sent it.
+    fn needs_update(self, applied: Self) -> bool {
+        (self.0 - applied.0).abs() > UPDATE_THRESHOLD_RATIO * applied.0 || (self == Self::ALL) != (applied == Self::ALL)
     }
 }
 
-/// What was asked of one router since it told last.
+/// One customer's requests at one router since the router's last report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Requests that came in, refused ones included.
     pub asked: u32,
-    /// Those that passed.
+    /// Requests that passed.
     pub passed: u32,
-    /// The share that the router goes by, so that its keeper needn't remember whom it told what.
+    /// The share that the router applies. Reporting it saves the account's owner from recording what it sent to whom.
     pub fraction: Fraction,
 }
 
 // ----------------------------------------------------------------------------
 
-/// A customer's account, at the one router that keeps it.
+/// A customer's account, at the one router that owns it.
 #[derive(Debug)]
 pub struct Account {
     rate: f64,
-    since: Moment,
-    heard: Moment,
-    /// Requests a second that are asked of all routers, measured.
-    asked: f64,
-    /// What may still pass beyond the rate, at most the burst; negative if too much passed, at least minus the burst.
+    created_at: Moment,
+    last_report: Moment,
+    /// Estimated rate of requests at all routers together, in requests a second.
+    request_rate: f64,
+    /// Requests that may still pass beyond the rate, at most the burst allowance. Negative if too many passed, at least
+    /// minus the burst allowance.
     tokens: f64,
 }
 
 impl Account {
-    /// An account that has heard nothing yet.
+    /// Creates an account that has received no usage reports yet and has its full burst allowance.
     #[must_use]
     pub fn new(now: Moment, rate: unit::Rate) -> Self {
         let rate = rate.per_second();
-        Self { rate, since: now, heard: now, asked: 0.0, tokens: burst(rate) }
+        Self { rate, created_at: now, last_report: now, request_rate: 0.0, tokens: burst(rate) }
     }
 
     // ------------------------------------------------------------------------
     // Queries.
 
-    /// Whether nobody asked for so long that nothing is lost by forgetting it.
+    /// Whether no usage was reported for so long that nothing is lost by removing the account.
     #[must_use]
     pub fn is_idle(&self, now: Moment) -> bool {
-        now.since(self.heard) >= IDLE
+        now.since(self.last_report) >= ACCOUNT_IDLE_TIMEOUT
     }
 
-    /// The share of asks that may pass now.
+    /// The share of requests that may pass now.
     #[must_use]
     pub fn fraction(&self) -> Fraction {
-        let may_pass = (self.rate + self.tokens / EVEN_OUT.as_secs_f64()).max(0.0);
-        // With half of the burst in hand, many asks in a short time are chance.
-        let is_within = self.asked <= may_pass || self.tokens >= burst(self.rate) / 2.0;
-        if is_within { Fraction::ALL } else { Fraction(may_pass / self.asked) }
+        let may_pass = (self.rate + self.tokens / CORRECTION_WINDOW.as_secs_f64()).max(0.0);
+        // While half of the burst allowance is left, many requests in a short time are treated as coincidence.
+        let is_within = self.request_rate <= may_pass || self.tokens >= burst(self.rate) / 2.0;
+        if is_within { Fraction::ALL } else { Fraction(may_pass / self.request_rate) }
     }
 
     // ------------------------------------------------------------------------
     // Changes.
 
-    /// The configured rate, which may have changed.
+    /// Sets the configured rate, which may have changed, and caps the tokens at the new burst allowance.
     pub fn set_rate(&mut self, rate: unit::Rate) {
         self.rate = rate.per_second();
         self.tokens = self.tokens.min(burst(self.rate));
     }
 
-    /// A router told its usage. Says what that router must be told, if anything.
+    /// Records a router's usage report. Returns the share to send to that router, if it needs a new one.
     #[must_use]
     pub fn hear(&mut self, now: Moment, usage: Usage) -> Option<Fraction> {
-        let passed = now.since(self.heard).as_secs_f64();
-        self.heard = now;
-        let fade = (-passed / FOLLOW.as_secs_f64()).exp();
-        self.asked = self.asked * fade + f64::from(usage.asked) / FOLLOW.as_secs_f64();
+        let elapsed = now.since(self.last_report).as_secs_f64();
+        self.last_report = now;
+        let decay = (-elapsed / RATE_TIME_CONSTANT.as_secs_f64()).exp();
+        self.request_rate = self.request_rate * decay + f64::from(usage.asked) / RATE_TIME_CONSTANT.as_secs_f64();
         let burst = burst(self.rate);
-        // What many routers let pass before they heard isn't held against the customer for long.
-        self.tokens = (self.tokens + passed * self.rate - f64::from(usage.passed)).clamp(-burst, burst);
+        // The lower bound limits how long a customer pays for what many routers let pass before they received a share.
+        self.tokens = (self.tokens + elapsed * self.rate - f64::from(usage.passed)).clamp(-burst, burst);
         let fraction = self.fraction();
-        // Another keeper may have told this router more than a new account knows.
-        let knows = now.since(self.since) >= LEARN || usage.fraction == Fraction::ALL;
-        (knows && fraction.is_news(usage.fraction)).then_some(fraction)
+        // A previous owner may have sent this router a share that rests on more reports than a new account has.
+        let is_reliable = now.since(self.created_at) >= WARM_UP || usage.fraction == Fraction::ALL;
+        (is_reliable && fraction.needs_update(usage.fraction)).then_some(fraction)
     }
 }
 
-/// Requests that may pass at once, beyond a rate in requests a second.
+/// The burst allowance in requests for a rate in requests a second.
 #[must_use]
 pub fn burst(rate: f64) -> f64 {
-    (rate * BURST.as_secs_f64()).max(MIN_BURST)
+    (rate * BURST_WINDOW.as_secs_f64()).max(MIN_BURST)
 }
 
 // ----------------------------------------------------------------------------
 
-/// What a router lets through of one customer's asks.
+/// One router's limiter for a customer: lets the share of requests pass that the account's owner sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
     fraction: Fraction,
-    told: Moment,
-    /// Parts of a request that may pass already; one whole lets the next pass.
+    received_at: Moment,
+    /// Accumulated shares of the requests so far, in requests; each whole one lets a request pass.
     credit: f64,
 }
 
-/// Half a request in hand: of many routers that see one ask each, about the right share lets it pass.
-const FIRST_CREDIT: f64 = 0.5;
+/// Initial credit in requests. With half a request, about the right share passes even if each of many routers receives
+/// only one request.
+const INITIAL_CREDIT: f64 = 0.5;
 
 impl Default for Share {
     fn default() -> Self {
-        Self { fraction: Fraction::ALL, told: Moment::ZERO, credit: FIRST_CREDIT }
+        Self { fraction: Fraction::ALL, received_at: Moment::ZERO, credit: INITIAL_CREDIT }
     }
 }
 
 impl Share {
-    /// The account's keeper told the share.
+    /// Applies a share received from the account's owner.
     pub fn set(&mut self, now: Moment, fraction: Fraction) {
         self.fraction = fraction;
-        self.told = now;
+        self.received_at = now;
     }
 
-    /// Lets a request pass, or says when to come back.
+    /// Lets a request pass or refuses it.
     ///
     /// # Errors
-    /// The time to wait, when the customer is beyond its rate.
+    /// The time after which to retry, when the customer is beyond its rate.
     pub fn pass(&mut self, now: Moment) -> Result<(), Duration> {
-        if now.since(self.told) >= SHARE_TTL {
+        if now.since(self.received_at) >= SHARE_TTL {
             self.fraction = Fraction::ALL;
         }
         if self.fraction == Fraction::ALL {
@@ -193,82 +198,88 @@
         Err(self.retry_after())
     }
 
-    /// The smaller the share, the later to come back: asking again sooner would only be refused again.
+    /// The time after which to retry. It is longer for a smaller share, since an earlier retry would only be refused
+    /// again.
     fn retry_after(&self) -> Duration {
-        let (soonest, latest) = RETRY;
+        let (min, max) = RETRY_AFTER_RANGE;
         if self.fraction.0 <= 0.0 {
-            return latest;
+            return max;
         }
-        let seconds = soonest.as_secs_f64() / self.fraction.0;
-        Duration::from_secs_f64(seconds.min(latest.as_secs_f64()))
+        let seconds = min.as_secs_f64() / self.fraction.0;
+        Duration::from_secs_f64(seconds.min(max.as_secs_f64()))
     }
 }
 
 // ----------------------------------------------------------------------------
 
+/// Requests of one customer that are counted but not yet reported.
 #[derive(Clone, Copy, Debug)]
-struct Untold {
+struct Unreported {
     asked: u32,
     passed: u32,
     since: Moment,
-    /// Asks that are told at once.
-    urgent: u32,
+    /// Number of requests at which they are reported at once.
+    early_report_at: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReceivedShare {
     fraction: Fraction,
     at: Moment,
 }
 
-/// What was asked of this router and isn't told yet, by customer, and the shares that it was told.
+/// A router's counts of requests that it hasn't reported yet, and the shares that it received, both by customer.
 #[derive(Debug, Default)]
 pub struct Meter {
-    untold: BTreeMap<id::Customer, Untold>,
-    told: BTreeMap<id::Customer, Told>,
+    unreported: BTreeMap<id::Customer, Unreported>,
+    received: BTreeMap<id::Customer, ReceivedShare>,
 }
 
 impl Meter {
-    /// A request of a customer with a rate came in at one of so many routers.
+    /// Counts a request of a customer that has a rate limit; `routers` is the number of routers in the fleet.
     pub fn count(&mut self, now: Moment, customer: &id::Customer, rate: unit::Rate, routers: usize, passed: bool) {
-        let fresh = Untold { asked: 0, passed: 0, since: now, urgent: urgent(rate, routers) };
-        let untold = self.untold.entry(customer.clone()).or_insert(fresh);
-        untold.asked = untold.asked.saturating_add(1);
-        untold.passed = untold.passed.saturating_add(u32::from(passed));
+        let initial =
+            Unreported { asked: 0, passed: 0, since: now, early_report_at: early_report_count(rate, routers) };
+        let unreported = self.unreported.entry(customer.clone()).or_insert(initial);
+        unreported.asked = unreported.asked.saturating_add(1);
+        unreported.passed = unreported.passed.saturating_add(u32::from(passed));
     }
 
-    /// A customer's share came in.
+    /// Stores a customer's share received from the account's owner.
     pub fn set(&mut self, now: Moment, customer: &id::Customer, fraction: Fraction) {
-        self.told.retain(|_, told| now.since(told.at) < SHARE_TTL);
+        self.received.retain(|_, received| now.since(received.at) < SHARE_TTL);
         if fraction == Fraction::ALL {
-            self.told.remove(customer);
+            self.received.remove(customer);
             return;
         }
-        self.told.insert(customer.clone(), Told { fraction, at: now });
+        self.received.insert(customer.clone(), ReceivedShare { fraction, at: now });
     }
 
-    /// What is to be told now.
+    /// Takes the usage that is due to be reported now.
     pub fn due(&mut self, now: Moment) -> Vec<(id::Customer, Usage)> {
-        let is_due = |untold: &Untold| untold.asked >= untold.urgent || now.since(untold.since) >= TELL_USAGE;
-        let usage = |(customer, untold): (&id::Customer, &Untold)| {
+        let is_due = |unreported: &Unreported| {
+            unreported.asked >= unreported.early_report_at || now.since(unreported.since) >= REPORT_INTERVAL
+        };
+        let usage = |(customer, unreported): (&id::Customer, &Unreported)| {
             let fraction = self.fraction(now, customer);
-            (customer.clone(), Usage { asked: untold.asked, passed: untold.passed, fraction })
+            (customer.clone(), Usage { asked: unreported.asked, passed: unreported.passed, fraction })
         };
-        let due = self.untold.iter().filter(|(_, untold)| is_due(untold)).map(usage).collect();
-        self.untold.retain(|_, untold| !is_due(untold));
+        let due = self.unreported.iter().filter(|(_, unreported)| is_due(unreported)).map(usage).collect();
+        self.unreported.retain(|_, unreported| !is_due(unreported));
         due
     }
 
-    /// The share to tell: an old one is told as none, so that the keeper says it again before it lapses.
+    /// The share to report. An old share is reported as none, so that the account's owner sends it again before it
+    /// expires.
     fn fraction(&self, now: Moment, customer: &id::Customer) -> Fraction {
-        let told = self.told.get(customer).filter(|told| now.since(told.at) < ASK_AGAIN);
-        told.map_or(Fraction::ALL, |told| told.fraction)
+        let received = self.received.get(customer).filter(|received| now.since(received.at) < SHARE_REFRESH_AGE);
+        received.map_or(Fraction::ALL, |received| received.fraction)
     }
 }
 
-/// A router's even part of a rate over [`URGENT`], at least one request.
+/// A router's even part of a rate over [`EARLY_REPORT_WINDOW`], at least one request.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
-fn urgent(rate: unit::Rate, routers: usize) -> u32 {
-    let part = rate.per_second() * URGENT.as_secs_f64() / routers.max(1) as f64;
+fn early_report_count(rate: unit::Rate, routers: usize) -> u32 {
+    let part = rate.per_second() * EARLY_REPORT_WINDOW.as_secs_f64() / routers.max(1) as f64;
     part.ceil().max(1.0) as u32
 }
--- a/crates/stairvale-admission/src/queue.rs
+++ b/crates/stairvale-admission/src/queue.rs
@@ -1,103 +1,103 @@
-//! A bounded queue with classes, ageing and fair shares.
+//! A bounded queue with priority classes, ageing and weighted fair sharing among customers.
 
 use std::{collections::HashMap, time::Duration};
 
 use stairvale_types::{Class, Moment, id};
 
-/// After this long an item counts as one class more urgent, so that a long job finishes.
+/// Waiting time after which an item counts as one class more urgent, so that low-priority work isn't starved.
 pub const AGE_STEP: Duration = Duration::from_secs(2);
-/// One turn of a customer with weight 1, in virtual time.
-const TURN: u64 = 1 << 20;
+/// Virtual time that serving one item of a customer with weight 1 takes.
+const VIRTUAL_TIME_PER_ITEM: u64 = 1 << 20;
 
-/// Something that waits.
+/// An entry of the queue.
 #[derive(Clone, Debug)]
 pub struct Item<T> {
-    /// What waits.
+    /// The payload.
     pub value: T,
-    /// Whose it is.
+    /// The customer that the item is accounted to.
     pub customer: id::Customer,
     /// The customer's weight, at least 1.
     pub weight: u32,
-    /// Its class.
+    /// The priority class, before ageing.
     pub class: Class,
-    /// When waiting is no longer of use.
+    /// The time from which waiting is of no more use and the item expires.
     pub until: Moment,
-    since: Moment,
+    enqueued_at: Moment,
     /// Virtual finish time, by start-time fair queueing (Goyal, Vin, Cheng, 1996).
     tag: u64,
     sequence: u64,
 }
 
 impl<T> Item<T> {
-    /// Something to wait until `until`.
+    /// Creates an item that may wait until `until`, with weight 1.
     #[must_use]
     pub fn new(value: T, customer: id::Customer, class: Class, until: Moment) -> Self {
-        Self { value, customer, weight: 1, class, until, since: Moment::ZERO, tag: 0, sequence: 0 }
+        Self { value, customer, weight: 1, class, until, enqueued_at: Moment::ZERO, tag: 0, sequence: 0 }
     }
 
-    /// Gives the customer's weight; zero counts as one.
+    /// Sets the customer's weight; zero counts as one.
     #[must_use]
     pub fn with_weight(mut self, weight: u32) -> Self {
         self.weight = weight.max(1);
         self
     }
 
-    /// When it was pushed.
+    /// The time at which the item was pushed.
     #[must_use]
     pub fn since(&self) -> Moment {
-        self.since
+        self.enqueued_at
     }
 
-    /// Its class after ageing: zero is the most urgent.
+    /// The priority level after ageing; zero is the most urgent.
     fn level(&self, now: Moment) -> u64 {
-        let steps = now.since(self.since).as_micros() / AGE_STEP.as_micros();
+        let steps = now.since(self.enqueued_at).as_micros() / AGE_STEP.as_micros();
         let steps = u64::try_from(steps).unwrap_or(u64::MAX);
         (self.class.index() as u64).saturating_sub(steps)
     }
 }
 
-/// The queue is full; the item comes back.
+/// Error of a push to a full queue, with the item that was rejected or evicted.
 #[derive(Debug)]
 pub struct Full<T>(pub T);
 
-/// A bounded queue.
+/// A bounded queue that serves by class, then fairly among customers.
 ///
-/// It is small (a queue an engine), so a pop scans it; the benchmark `queue` shows how that grows.
+/// The queue is small (there is one for each engine), so a pop scans it; the benchmark `queue` shows how that scales.
 #[derive(Debug)]
 pub struct Queue<T> {
     capacity: usize,
     items: Vec<Item<T>>,
-    /// The last tag given to each customer that waits; kept only while it waits.
-    last: HashMap<id::Customer, u64>,
+    /// The last tag given to each customer; kept only while the customer has items in the queue.
+    last_tags: HashMap<id::Customer, u64>,
     virtual_time: u64,
     sequence: u64,
 }
 
 impl<T> Queue<T> {
-    /// A queue of at most `capacity` items.
+    /// Creates a queue of at most `capacity` items.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
-        Self { capacity, items: Vec::new(), last: HashMap::new(), virtual_time: 0, sequence: 0 }
+        Self { capacity, items: Vec::new(), last_tags: HashMap::new(), virtual_time: 0, sequence: 0 }
     }
 
-    /// Sets another capacity; what waits stays.
+    /// Changes the capacity; items beyond a smaller capacity stay in the queue.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// How many wait.
+    /// The number of items in the queue.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue has no items.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// How many would be served before a new item of this customer and class, if nothing aged.
+    /// The number of items that would be served before a new item of this customer and class, without further ageing.
     #[must_use]
     pub fn ahead(&self, now: Moment, customer: &id::Customer, weight: u32, class: Class) -> usize {
         let tag = self.next_tag(customer, weight);
@@ -109,10 +109,10 @@
     /// Adds an item.
     ///
     /// # Errors
-    /// [`Full`] at capacity, unless a customer that waits with more than its share makes room: then that customer's
-    /// last item is the one that comes back.
+    /// [`Full`] at capacity. It holds the new item or, if a customer has more than its share of the queue, that
+    /// customer's last item, which was evicted to make room for the new one.
     pub fn push(&mut self, now: Moment, mut item: Item<T>) -> Result<(), Full<Item<T>>> {
-        item.since = now;
+        item.enqueued_at = now;
         item.sequence = self.sequence;
         item.tag = self.next_tag(&item.customer, item.weight);
         self.sequence += 1;
@@ -120,50 +120,50 @@
             self.insert(item);
             return Ok(());
         }
-        let Some(victim) = self.victim(now, &item) else {
+        let Some(index) = self.eviction_candidate(now, &item) else {
             return Err(Full(item));
         };
-        let victim = self.items.swap_remove(victim);
-        self.settle(&victim.customer);
+        let evicted = self.items.swap_remove(index);
+        self.update_last_tag(&evicted.customer);
         self.insert(item);
-        Err(Full(victim))
+        Err(Full(evicted))
     }
 
-    /// Takes the item whose turn it is.
+    /// Removes and returns the next item to serve.
     pub fn pop(&mut self, now: Moment) -> Option<Item<T>> {
         self.pop_if(now, |_| true)
     }
 
-    /// Takes the first item, in the order of turns, that `allowed` lets through.
+    /// Removes and returns the next item to serve among those that `allowed` accepts.
     pub fn pop_if(&mut self, now: Moment, allowed: impl Fn(&Item<T>) -> bool) -> Option<Item<T>> {
         let candidates = self.items.iter().enumerate().filter(|(_, item)| allowed(item));
         let best = candidates.min_by_key(|(_, item)| (item.level(now), item.tag, item.sequence));
         let index = best?.0;
         let item = self.items.swap_remove(index);
         self.virtual_time = self.virtual_time.max(item.tag);
-        self.settle(&item.customer);
+        self.update_last_tag(&item.customer);
         Some(item)
     }
 
-    /// Takes all that waited as long as it may.
+    /// Removes and returns the items whose deadline has passed.
     pub fn expire(&mut self, now: Moment) -> Vec<Item<T>> {
         let expired: Vec<_> = self.items.extract_if(.., |item| item.until <= now).collect();
         for item in &expired {
-            self.settle(&item.customer);
+            self.update_last_tag(&item.customer);
         }
         expired
     }
 
-    /// Takes the items that `gone` picks.
-    pub fn remove(&mut self, gone: impl Fn(&T) -> bool) -> Vec<Item<T>> {
-        let removed: Vec<_> = self.items.extract_if(.., |item| gone(&item.value)).collect();
+    /// Removes and returns the items whose payload `matches` accepts.
+    pub fn remove(&mut self, matches: impl Fn(&T) -> bool) -> Vec<Item<T>> {
+        let removed: Vec<_> = self.items.extract_if(.., |item| matches(&item.value)).collect();
         for item in &removed {
-            self.settle(&item.customer);
+            self.update_last_tag(&item.customer);
         }
         removed
     }
 
-    /// What waits, in no order.
+    /// Iterates over the items, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Item<T>> {
         self.items.iter()
     }
@@ -171,31 +171,33 @@
     // ------------------------------------------------------------------------
 
     fn next_tag(&self, customer: &id::Customer, weight: u32) -> u64 {
-        let start = self.last.get(customer).copied().unwrap_or(0).max(self.virtual_time);
-        start + TURN / u64::from(weight.max(1))
+        let start = self.last_tags.get(customer).copied().unwrap_or(0).max(self.virtual_time);
+        start + VIRTUAL_TIME_PER_ITEM / u64::from(weight.max(1))
     }
 
     fn insert(&mut self, item: Item<T>) {
-        self.last.insert(item.customer.clone(), item.tag);
+        self.last_tags.insert(item.customer.clone(), item.tag);
         self.items.push(item);
     }
 
-    /// Forgets a customer that no longer waits, so that this map stays as small as the queue.
-    fn settle(&mut self, customer: &id::Customer) {
+    /// Updates a customer's last tag after one of its items was removed. The entry of a customer without items is
+    /// removed, so that the map stays as small as the queue.
+    fn update_last_tag(&mut self, customer: &id::Customer) {
         let mut tags = self.items.iter().filter(|item| &item.customer == customer).map(|item| item.tag);
         match tags.next() {
             None => {
-                self.last.remove(customer);
+                self.last_tags.remove(customer);
             }
             Some(first) => {
                 let last = tags.fold(first, u64::max);
-                self.last.insert(customer.clone(), last);
+                self.last_tags.insert(customer.clone(), last);
             }
         }
     }
 
-    /// An item that goes after the new one, of the customer that has the most waiting.
-    fn victim(&self, now: Moment, new: &Item<T>) -> Option<usize> {
+    /// The index of the item that would be served last, if that is after the new one. Among items of the same level it
+    /// belongs to the customer that has the most waiting in relation to its weight.
+    fn eviction_candidate(&self, now: Moment, new: &Item<T>) -> Option<usize> {
         let level = new.level(now);
         let later = |item: &&(usize, &Item<T>)| (item.1.level(now), item.1.tag) > (level, new.tag);
         let items: Vec<_> = self.items.iter().enumerate().collect();
--- a/crates/stairvale-admission/src/shares.rs
+++ b/crates/stairvale-admission/src/shares.rs
@@ -1,64 +1,66 @@
-//! Who competes for an upstream's slots, and what each customer's share is.
+//! Fair shares of an upstream's slots among the customers that compete for them.
 
 use std::{collections::HashMap, time::Duration};
 
 use stairvale_types::{Moment, id};
 
-/// A customer competes for this long after it asked last.
-const ACTIVE: Duration = Duration::from_secs(5);
-/// One slot in so many is kept free of customers that hold their share already.
-const RESERVE: u32 = 4;
+/// Time after its last request for which a customer counts as competing.
+const ACTIVE_WINDOW: Duration = Duration::from_secs(5);
+/// One slot in this many is reserved for customers that are within their shares.
+const RESERVE_DIVISOR: u32 = 4;
 
 #[derive(Clone, Copy, Debug)]
-struct Asker {
+struct Competitor {
     weight: u32,
-    asked: Moment,
+    last_request: Moment,
 }
 
-/// The customers that asked lately.
+/// The customers that compete for the slots: those with a recent request.
 #[derive(Debug, Default)]
 pub struct Shares {
-    askers: HashMap<id::Customer, Asker>,
+    competitors: HashMap<id::Customer, Competitor>,
 }
 
 impl Shares {
-    /// A customer asks.
+    /// Records a request of a customer with its weight; zero counts as one.
     pub fn notice(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
         let weight = weight.max(1);
-        self.askers.insert(customer.clone(), Asker { weight, asked: now });
+        self.competitors.insert(customer.clone(), Competitor { weight, last_request: now });
     }
 
-    /// Forgets customers that haven't asked for a while.
+    /// Removes customers without a recent request.
     pub fn age(&mut self, now: Moment) {
-        self.askers.retain(|_, asker| now.since(asker.asked) < ACTIVE);
+        self.competitors.retain(|_, competitor| now.since(competitor.last_request) < ACTIVE_WINDOW);
     }
 
-    /// A customer's share of some slots, rounded up; `None` if nobody else competes.
+    /// A customer's share of `slots`, rounded up; `None` if no other customer competes.
     #[must_use]
     pub fn of(&self, now: Moment, customer: &id::Customer, slots: u32) -> Option<u32> {
-        let active = self.askers.iter().filter(|(_, asker)| now.since(asker.asked) < ACTIVE);
-        let mut all = 0_u64;
-        let mut own = 1;
-        let mut others = false;
-        for (name, asker) in active {
-            all += u64::from(asker.weight);
+        let active =
+            self.competitors.iter().filter(|(_, competitor)| now.since(competitor.last_request) < ACTIVE_WINDOW);
+        let mut total_weight = 0_u64;
+        let mut own_weight = 1;
+        let mut has_others = false;
+        for (name, competitor) in active {
+            total_weight += u64::from(competitor.weight);
             if name == customer {
-                own = u64::from(asker.weight);
+                own_weight = u64::from(competitor.weight);
             } else {
-                others = true;
+                has_others = true;
             }
         }
-        if !others {
+        if !has_others {
             return None;
         }
-        let share = (u64::from(slots) * own).div_ceil(all.max(1));
+        let share = (u64::from(slots) * own_weight).div_ceil(total_weight.max(1));
         u32::try_from(share).ok()
     }
 }
 
-/// The slots that a customer over its share may fill: what is left is for those who are within theirs.
+/// The number of `slots` that customers beyond their shares may fill, at least one. The rest is reserved for customers
+/// within their shares.
 #[must_use]
 pub const fn unreserved(slots: u32) -> u32 {
-    let left = slots - slots.div_ceil(RESERVE);
+    let left = slots - slots.div_ceil(RESERVE_DIVISOR);
     if left == 0 { 1 } else { left }
 }
--- a/crates/stairvale-admission/tests/admission.rs
+++ b/crates/stairvale-admission/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Urgent before bulk, but bulk in the end; a customer's surge queues behind itself; nothing grows without bound.
+//! Urgent items are served first, but bulk items aren't starved; a customer's burst delays mainly the customer itself; the
+//! queue stays bounded.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn urgent_goes_first_whatever_came_before() {
+fn urgent_items_are_served_first_regardless_of_arrival_order() {
     let mut queue = Queue::new(10);
     queue.push(Moment::ZERO, item(1, "a", Class::Bulk)).unwrap();
     queue.push(Moment::ZERO, item(2, "a", Class::Normal)).unwrap();
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_long_job_ages_until_it_is_served() {
+fn a_bulk_item_ages_until_it_is_served() {
     let mut queue = Queue::new(1_000);
     queue.push(Moment::ZERO, item(0, "auditor", Class::Bulk)).unwrap();
     let mut now = Moment::ZERO;
@@ -47,23 +48,23 @@
             return;
         }
     }
-    panic!("the long job was never served");
+    panic!("the bulk item was never served");
 }
 
 #[test]
-fn a_surge_queues_behind_itself() {
+fn a_burst_of_one_customer_does_not_delay_another_customer() {
     let mut queue = Queue::new(1_000);
     for number in 0..100 {
-        queue.push(Moment::ZERO, item(number, "surge", Class::Normal)).unwrap();
+        queue.push(Moment::ZERO, item(number, "bursty", Class::Normal)).unwrap();
     }
     queue.push(Moment::ZERO, item(1_000, "other", Class::Normal)).unwrap();
     let order = drain(&mut queue, Moment::ZERO);
     let place = order.iter().position(|value| *value == 1_000).unwrap();
-    assert!(place <= 1, "the other customer waits behind {place} of the surge");
+    assert!(place <= 1, "the other customer waits behind {place} items of the burst");
 }
 
 #[test]
-fn weights_share_the_turns() {
+fn service_is_shared_by_weight() {
     let mut queue = Queue::new(1_000);
     for number in 0..60 {
         queue.push(Moment::ZERO, item(number, "light", Class::Normal)).unwrap();
@@ -71,28 +72,28 @@
     }
     let first: Vec<_> = drain(&mut queue, Moment::ZERO).into_iter().take(40).collect();
     let heavy = first.iter().filter(|value| **value >= 1_000).count();
-    assert!((28..=32).contains(&heavy), "{heavy} of 40 turns at weight 3 of 4");
+    assert!((28..=32).contains(&heavy), "{heavy} of 40 items served are from the customer with weight 3 of 4");
 }
 
 #[test]
-fn a_full_queue_gives_up_the_surges_last_item_for_another_customer() {
+fn a_full_queue_evicts_the_last_item_of_a_burst_for_another_customer() {
     let mut queue = Queue::new(3);
     for number in 0..3 {
-        queue.push(Moment::ZERO, item(number, "surge", Class::Normal)).unwrap();
+        queue.push(Moment::ZERO, item(number, "bursty", Class::Normal)).unwrap();
     }
     let Err(Full(out)) = queue.push(Moment::ZERO, item(9, "other", Class::Normal)) else {
         panic!("the queue is full");
     };
-    assert_eq!(out.value, 2, "the surge's last item makes room");
+    assert_eq!(out.value, 2, "the last item of the burst is evicted");
     assert_eq!(queue.len(), 3);
-    let Err(Full(out)) = queue.push(Moment::ZERO, item(10, "surge", Class::Normal)) else {
+    let Err(Full(out)) = queue.push(Moment::ZERO, item(10, "bursty", Class::Normal)) else {
         panic!("the queue is full");
     };
-    assert_eq!(out.value, 10, "the surge itself gets no more room");
+    assert_eq!(out.value, 10, "a further item of the burst is rejected");
 }
 
 #[test]
-fn what_waited_too_long_comes_out() {
+fn items_expire_at_their_deadline() {
     let mut queue = Queue::new(10);
     let until = Moment::from_millis(100);
     queue.push(Moment::ZERO, Item::new(1, customer("a"), Class::Normal, until)).unwrap();
@@ -102,10 +103,10 @@
 }
 
 #[test]
-fn shares_count_only_who_asks() {
+fn shares_count_only_customers_with_recent_requests() {
     let mut shares = Shares::default();
     shares.notice(Moment::ZERO, &customer("a"), 1);
-    assert_eq!(shares.of(Moment::ZERO, &customer("a"), 32), None, "alone, it may have all");
+    assert_eq!(shares.of(Moment::ZERO, &customer("a"), 32), None, "a single customer may use all slots");
     shares.notice(Moment::ZERO, &customer("b"), 3);
     assert_eq!(shares.of(Moment::ZERO, &customer("a"), 32), Some(8));
     assert_eq!(shares.of(Moment::from_millis(6_000), &customer("a"), 32), None);
@@ -114,13 +115,13 @@
 }
 
 #[test]
-fn retries_are_a_share_of_successes() {
+fn retries_are_limited_to_a_share_of_successes() {
     let mut budget = Budget::new(10, 5);
     assert_eq!((0..100).filter(|_| budget.spend()).count(), 5);
     for _ in 0..100 {
         budget.earn();
     }
-    assert_eq!((0..100).filter(|_| budget.spend()).count(), 5, "never more in hand than the cap");
+    assert_eq!((0..100).filter(|_| budget.spend()).count(), 5, "the budget is capped");
     for _ in 0..30 {
         budget.earn();
     }
@@ -128,9 +129,9 @@
 }
 
 #[test]
-fn the_pace_follows_what_is_seen() {
+fn predicted_waits_follow_observed_hold_times() {
     let mut pace = Pace::default();
-    assert_eq!(pace.wait(10, 4), Duration::ZERO, "nothing is predicted before anything was seen");
+    assert_eq!(pace.wait(10, 4), Duration::ZERO, "no wait is predicted before the first observation");
     for _ in 0..50 {
         pace.observe(Duration::from_millis(400));
     }
@@ -138,29 +139,29 @@
 }
 
 quickcheck! {
-    fn everything_that_goes_in_comes_out_once(moves: Vec<(u8, u8, bool)>) -> bool {
+    fn every_pushed_item_comes_out_once(moves: Vec<(u8, u8, bool)>) -> bool {
         let mut queue = Queue::new(8);
         let mut now = Moment::ZERO;
-        let mut came = Vec::new();
+        let mut removed = Vec::new();
         let mut count = 0;
         for (name, class, pops) in moves {
             now = now + Duration::from_millis(300);
             if pops {
-                came.extend(queue.pop(now).map(|item| item.value));
+                removed.extend(queue.pop(now).map(|item| item.value));
                 continue;
             }
             let class = Class::ALL[usize::from(class) % 3];
             let result = queue.push(now, item(count, &format!("c{}", name % 3), class));
             count += 1;
             if let Err(Full(out)) = result {
-                came.push(out.value);
+                removed.push(out.value);
             }
             if queue.len() > 8 {
                 return false;
             }
         }
-        came.extend(drain(&mut queue, now));
-        came.sort_unstable();
-        came == (0..count).collect::<Vec<_>>()
+        removed.extend(drain(&mut queue, now));
+        removed.sort_unstable();
+        removed == (0..count).collect::<Vec<_>>()
     }
 }
