--- a/crates/stairvale-admission/src/lib.rs
+++ b/crates/stairvale-admission/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`queue`] has a bounded queue that serves classes in strict priority, ages waiting items, and shares service among
 //! customers by weight. [`shares`] computes each customer's share of an upstream's slots, so that a burst of one
-//! customer leaves room for others. [`limit`] enforces a customer's rate over the whole fleet. [`budget`] limits retries
-//! to a share of successful requests. [`pace`] predicts queueing times.
+//! customer leaves room for others. [`limit`] enforces a customer's rate over the whole fleet. [`budget`] limits
+//! retries to a share of successful requests. [`pace`] predicts queueing times.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/stairvale-admission/src/limit.rs
+++ b/crates/stairvale-admission/src/limit.rs
@@ -2,8 +2,8 @@
 //!
 //! One router owns the customer's [`Account`]; the other routers report to it now and then how many requests they
 //! received. While the customer stays within its rate, the owner sends nothing back. Beyond the rate, the account
-//! computes which share of the requests may pass, the same for every router, and each router's [`Share`] lets just that
-//! share through. A router needs no information about the other routers, and it doesn't matter how unevenly a load
+//! computes which share of the requests may pass, the same for every router, and each router lets just that share
+//! through. A router needs no information about the other routers, and it doesn't matter how unevenly a load
 //! balancer spreads the customer's connections.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -215,7 +215,7 @@
 /// Requests of one customer that are counted but not yet reported.
 #[derive(Clone, Copy, Debug)]
 struct Unreported {
-    asked: u32,
+    requests: u32,
     passed: u32,
     since: Moment,
     /// Number of requests at which they are reported at once.
@@ -239,9 +239,9 @@
     /// Counts a request of a customer that has a rate limit; `routers` is the number of routers in the fleet.
     pub fn count(&mut self, now: Moment, customer: &id::Customer, rate: unit::Rate, routers: usize, passed: bool) {
         let initial =
-            Unreported { asked: 0, passed: 0, since: now, early_report_at: early_report_count(rate, routers) };
+            Unreported { requests: 0, passed: 0, since: now, early_report_at: early_report_count(rate, routers) };
         let unreported = self.unreported.entry(customer.clone()).or_insert(initial);
-        unreported.asked = unreported.asked.saturating_add(1);
+        unreported.requests = unreported.requests.saturating_add(1);
         unreported.passed = unreported.passed.saturating_add(u32::from(passed));
     }
 
@@ -258,11 +258,11 @@
     /// Takes the usage that is due to be reported now.
     pub fn due(&mut self, now: Moment) -> Vec<(id::Customer, Usage)> {
         let is_due = |unreported: &Unreported| {
-            unreported.asked >= unreported.early_report_at || now.since(unreported.since) >= REPORT_INTERVAL
+            unreported.requests >= unreported.early_report_at || now.since(unreported.since) >= REPORT_INTERVAL
         };
         let usage = |(customer, unreported): (&id::Customer, &Unreported)| {
             let fraction = self.fraction(now, customer);
-            (customer.clone(), Usage { asked: unreported.asked, passed: unreported.passed, fraction })
+            (customer.clone(), Usage { asked: unreported.requests, passed: unreported.passed, fraction })
         };
         let due = self.unreported.iter().filter(|(_, unreported)| is_due(unreported)).map(usage).collect();
         self.unreported.retain(|_, unreported| !is_due(unreported));
--- a/crates/stairvale-admission/tests/admission.rs
+++ b/crates/stairvale-admission/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Urgent items are served first, but bulk items aren't starved; a customer's burst delays mainly the customer itself; the
-//! queue stays bounded.
+//! Urgent items are served first, but bulk items aren't starved; a customer's burst delays mainly the customer itself;
+//! the queue stays bounded.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
--- a/crates/stairvale-admission/tests/limit_parts/crowd.rs
+++ b/crates/stairvale-admission/tests/limit_parts/crowd.rs
@@ -95,8 +95,8 @@
         outcome
     }
 
-    /// Draws the number of arrivals in a step from a Poisson distribution by inversion, which is fast enough for the few
-    /// arrivals of a step.
+    /// Draws the number of arrivals in a step from a Poisson distribution by inversion, which is fast enough for the
+    /// few arrivals of a step.
     fn draw_arrivals(&mut self) -> u32 {
         let mean = self.scenario.offered_rate * STEP.as_secs_f64();
         let mut remaining: f64 = self.rng.random();
--- a/crates/stairvale-control/tests/orders.rs
+++ b/crates/stairvale-control/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines come from one holder a zone, fenced, and after the old holder's lease has surely lapsed.
+//! Orders to engines come only from the holder of the zone's lease and carry its fencing token. Where engines don't
+//! check tokens, a new holder gives orders only after the previous holder's lease has expired.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -19,58 +20,63 @@
     }
 }
 
-const START: Moment = Moment::from_millis(60_000);
+const ACQUIRED_AT: Moment = Moment::from_millis(60_000);
 
+/// A machine that has acquired the lease with this fencing token.
 fn holder(token: u64) -> Machine {
     let mut machine = Machine::default();
-    assert_eq!(machine.tick(START, true), Some(Wish::Acquire));
-    assert_eq!(machine.answer(START, &Answer::Written(token)), Some(true));
+    assert_eq!(machine.tick(ACQUIRED_AT, true), Some(Wish::Acquire));
+    assert_eq!(machine.answer(ACQUIRED_AT, &Answer::Written(token)), Some(true));
     machine
 }
 
 #[test]
-fn only_the_holder_orders_and_with_its_token() {
+fn only_the_holder_gives_orders_and_they_carry_its_token() {
     let mut other = Machine::default();
-    assert_eq!(other.tick(START, false), None, "it isn't chosen");
-    assert_eq!(other.tick(START, true), Some(Wish::Acquire));
-    assert_eq!(other.answer(START, &Answer::Conflict), None);
-    assert_eq!(other.next(START, &[need(true)]), None);
+    assert_eq!(other.tick(ACQUIRED_AT, false), None, "a router that isn't chosen doesn't acquire the lease");
+    assert_eq!(other.tick(ACQUIRED_AT, true), Some(Wish::Acquire));
+    assert_eq!(other.answer(ACQUIRED_AT, &Answer::Conflict), None);
+    assert_eq!(other.next(ACQUIRED_AT, &[need(true)]), None);
     let mut machine = holder(42);
-    assert_eq!(machine.next(START, &[need(true)]).unwrap().token, 42);
+    assert_eq!(machine.next(ACQUIRED_AT, &[need(true)]).unwrap().token, 42);
 }
 
 #[test]
-fn a_holder_stops_before_its_lease_can_lapse() {
+fn a_holder_stops_before_its_lease_can_expire() {
     let mut machine = holder(1);
-    let late = START + (LEASE - Duration::from_secs(1));
-    assert_eq!(machine.next(late, &[need(true)]), None, "paused this long it must not order, whatever it believes");
+    let late = ACQUIRED_AT + (LEASE - Duration::from_secs(1));
+    assert_eq!(
+        machine.next(late, &[need(true)]),
+        None,
+        "a holder must not give orders after a pause in which its lease may have expired"
+    );
     assert_eq!(machine.holds(late), None);
 }
 
 #[test]
-fn renewal_counts_from_when_it_was_sent() {
+fn a_renewed_lease_counts_from_the_time_the_renewal_was_sent() {
     let mut machine = holder(1);
-    let sent = START + Duration::from_secs(2);
+    let sent = ACQUIRED_AT + Duration::from_secs(2);
     assert_eq!(machine.tick(sent, true), Some(Wish::Renew));
-    let heard = sent + Duration::from_millis(1_500);
-    machine.answer(heard, &Answer::Written(0));
+    let answered = sent + Duration::from_millis(1_500);
+    machine.answer(answered, &Answer::Written(0));
     assert_eq!(machine.holds(sent + Duration::from_millis(3_900)), Some(1));
     assert_eq!(machine.holds(sent + Duration::from_millis(4_000)), None);
 }
 
 #[test]
-fn a_lapsed_lease_is_told() {
+fn an_expired_lease_is_reported() {
     let mut machine = holder(1);
-    machine.tick(START + Duration::from_secs(2), true);
-    assert_eq!(machine.answer(START + Duration::from_secs(2), &Answer::Conflict), Some(false));
-    assert_eq!(machine.holds(START + Duration::from_secs(2)), None);
+    machine.tick(ACQUIRED_AT + Duration::from_secs(2), true);
+    assert_eq!(machine.answer(ACQUIRED_AT + Duration::from_secs(2), &Answer::Conflict), Some(false));
+    assert_eq!(machine.holds(ACQUIRED_AT + Duration::from_secs(2)), None);
 }
 
 #[test]
-fn where_engines_dont_check_a_new_holder_waits_the_old_one_out() {
+fn a_new_holder_waits_for_the_previous_lease_where_engines_do_not_check_tokens() {
     let mut machine = holder(7);
-    let mut now = START;
-    while now.since(START) < LEASE {
+    let mut now = ACQUIRED_AT;
+    while now.since(ACQUIRED_AT) < LEASE {
         assert_eq!(machine.next(now, &[need(false)]), None);
         now = now + Duration::from_secs(2);
         if machine.tick(now, true).is_some() {
@@ -81,13 +87,17 @@
 }
 
 #[test]
-fn the_weight_store_is_not_stormed_and_an_order_is_not_repeated_at_once() {
+fn orders_are_spaced_for_the_weight_store_and_not_repeated_at_once() {
     let mut machine = holder(1);
     let other = Need { upstream: "other".parse().unwrap(), ..need(true) };
     let needs = [need(true), other];
-    assert_eq!(machine.next(START, &needs).unwrap().upstream.as_str(), "engine");
-    assert_eq!(machine.next(START + Duration::from_millis(1_900), &needs), None, "one load in 2 s");
-    let later = START + Duration::from_millis(2_000);
-    assert_eq!(machine.next(later, &needs).unwrap().upstream.as_str(), "other", "the first one has its order");
+    assert_eq!(machine.next(ACQUIRED_AT, &needs).unwrap().upstream.as_str(), "engine");
+    assert_eq!(machine.next(ACQUIRED_AT + Duration::from_millis(1_900), &needs), None, "at most one model load in 2 s");
+    let later = ACQUIRED_AT + Duration::from_millis(2_000);
+    assert_eq!(
+        machine.next(later, &needs).unwrap().upstream.as_str(),
+        "other",
+        "the first engine already has its order"
+    );
     assert_eq!(machine.orders, 2);
 }
--- a/crates/stairvale-control/tests/spec.rs
+++ b/crates/stairvale-control/tests/spec.rs
@@ -1,4 +1,5 @@
-//! The moves of spec/generations.pml, made with the code's own submissions and holders, in many seeded orders.
+//! Makes the moves of `spec/generations.pml` with the production code's submissions and holders, in many seeded random
+//! orders.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -19,26 +20,34 @@
 const OPERATORS: usize = 2;
 const ROUTERS: usize = 2;
 const WALKS: u64 = 4_000;
-const DEPTH: usize = 40;
+const MOVES_PER_WALK: usize = 40;
 
+/// The state of the specification's model, held in production types.
 struct Model {
+    /// The manifest in the store, with its revision.
     store: Option<(String, u64)>,
+    /// All accepted manifests, in order.
     history: Vec<Manifest>,
     machines: Vec<(Machine, Step)>,
     holders: Vec<Holder>,
-    had: Vec<Generation>,
-    /// What routers heard and haven't acted on yet; it may be old by then.
-    heard: Vec<Vec<Manifest>>,
-    made: BTreeSet<&'static str>,
+    /// The highest generation so far that was in force at each router.
+    highest: Vec<Generation>,
+    /// Manifests that each router received and hasn't handled yet. They may be outdated by the time they are handled.
+    received: Vec<Vec<Manifest>>,
+    /// The names of the moves made so far, as the specification marks them.
+    moves_made: BTreeSet<&'static str>,
     now: Moment,
 }
 
+/// A move of the model; the first number is that of the operator or router.
 #[derive(Clone, Copy, Debug)]
 enum Move {
-    Call(usize, bool),
-    FromStore(usize),
-    FromPeer(usize),
-    Act(usize, usize),
+    /// An operator's next call to the store, and whether its answer is lost.
+    OperatorCall(usize, bool),
+    ReceiveFromStore(usize),
+    ReceiveFromPeer(usize),
+    /// A router handles one of the manifests that it received, by index.
+    HandleReceived(usize, usize),
 }
 
 fn text(number: usize) -> String {
@@ -61,12 +70,12 @@
             history: Vec::new(),
             machines: Vec::new(),
             holders: (0..ROUTERS).map(|_| Holder::new()).collect(),
-            had: vec![Generation(0); ROUTERS],
-            heard: vec![Vec::new(); ROUTERS],
-            made: BTreeSet::new(),
+            highest: vec![Generation(0); ROUTERS],
+            received: vec![Vec::new(); ROUTERS],
+            moves_made: BTreeSet::new(),
             now: Moment::ZERO,
         };
-        model.first();
+        model.apply_initial_configuration();
         for number in 1..=OPERATORS {
             let machine = Machine::new(submission(number, 1));
             let step = machine.start();
@@ -75,8 +84,8 @@
         model
     }
 
-    /// A first configuration that both operators start from.
-    fn first(&mut self) {
+    /// Applies the initial configuration, from which both operators start.
+    fn apply_initial_configuration(&mut self) {
         let mut machine = Machine::new(submission(0, 0));
         let mut step = machine.start();
         while let Step::Call(key, action) = step {
@@ -101,38 +110,38 @@
         Answer::Written(found + 1)
     }
 
-    fn enabled(&self) -> Vec<Move> {
+    fn enabled_moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         for (number, (_, step)) in self.machines.iter().enumerate() {
             if matches!(step, Step::Call(..)) {
-                moves.extend([Move::Call(number, false), Move::Call(number, true)]);
+                moves.extend([Move::OperatorCall(number, false), Move::OperatorCall(number, true)]);
             }
         }
         for router in 0..ROUTERS {
-            moves.extend([Move::FromStore(router), Move::FromPeer(router)]);
-            moves.extend((0..self.heard[router].len()).map(|index| Move::Act(router, index)));
+            moves.extend([Move::ReceiveFromStore(router), Move::ReceiveFromPeer(router)]);
+            moves.extend((0..self.received[router].len()).map(|index| Move::HandleReceived(router, index)));
         }
         moves
     }
 
-    fn make(&mut self, step: Move) {
-        match step {
-            Move::Call(number, lost) => self.operator(number, lost),
-            Move::FromStore(router) => {
-                self.made.insert("from-store");
+    fn make_move(&mut self, next: Move) {
+        match next {
+            Move::OperatorCall(number, lost) => self.step_operator(number, lost),
+            Move::ReceiveFromStore(router) => {
+                self.moves_made.insert("from-store");
                 let manifest = self.store.as_ref().map(|(text, _)| serde_json::from_str(text).unwrap());
-                self.heard[router].extend(manifest);
+                self.received[router].extend(manifest);
             }
-            Move::FromPeer(router) => {
-                self.made.insert("from-peer");
+            Move::ReceiveFromPeer(router) => {
+                self.moves_made.insert("from-peer");
                 let manifest = self.holders[1 - router].manifest().cloned();
-                self.heard[router].extend(manifest);
+                self.received[router].extend(manifest);
             }
-            Move::Act(router, index) => self.act(router, index),
+            Move::HandleReceived(router, index) => self.handle_received(router, index),
         }
     }
 
-    fn operator(&mut self, number: usize, lost: bool) {
+    fn step_operator(&mut self, number: usize, lost: bool) {
         let (_, step) = &self.machines[number];
         let Step::Call(key, action) = step.clone() else {
             return;
@@ -140,21 +149,21 @@
         let swap = key == MANIFEST_KEY && matches!(action, Action::Write { .. });
         let answer = self.call(&key, action.clone());
         if swap {
-            self.made.insert("swap");
-            self.made.insert(if lost { "answer-lost" } else { "answered" });
+            self.moves_made.insert("swap");
+            self.moves_made.insert(if lost { "answer-lost" } else { "answered" });
         }
         let answer = if lost { Answer::Lost } else { answer };
         let (machine, step) = &mut self.machines[number];
         *step = machine.answer(answer);
         let reads_back = matches!(step, Step::Call(key, Action::Read) if key == MANIFEST_KEY);
         if swap && reads_back {
-            self.made.insert("settle");
+            self.moves_made.insert("settle");
         }
-        self.check(number);
+        self.check_outcome(number);
     }
 
-    /// An operator who is told an outcome is told the truth.
-    fn check(&self, number: usize) {
+    /// Asserts that the outcome reported to an operator, if there is one yet, is true.
+    fn check_outcome(&self, number: usize) {
         let (_, step) = &self.machines[number];
         let Step::Done(outcome) = step else {
             return;
@@ -162,52 +171,52 @@
         let operator: id::Operator = format!("op-{}", number + 1).parse().unwrap();
         let accepted = self.history.iter().filter(|manifest| manifest.change.operator == operator).count();
         match outcome {
-            Outcome::Accepted(_) => assert_eq!(accepted, 1, "told that it was accepted"),
+            Outcome::Accepted(_) => assert_eq!(accepted, 1, "reported as accepted"),
             Outcome::Conflict(change) => {
-                assert_eq!(accepted, 0, "told of a conflict");
+                assert_eq!(accepted, 0, "reported as a conflict");
                 assert_ne!(change.operator, operator);
             }
             Outcome::Unavailable | Outcome::NoConfiguration => {
-                assert_eq!(accepted, 0, "told that nothing was changed");
+                assert_eq!(accepted, 0, "reported as not applied");
             }
             Outcome::Unknown => {}
         }
     }
 
-    fn act(&mut self, router: usize, index: usize) {
-        let manifest = self.heard[router].remove(index);
+    fn handle_received(&mut self, router: usize, index: usize) {
+        let manifest = self.received[router].remove(index);
         let chunks = vec![text(manifest.change.submission[1..].parse().unwrap())];
         let before = self.holders[router].generation();
         self.now = self.now + std::time::Duration::from_millis(1);
         let mut effects = self.holders[router].offer(self.now, None, manifest.clone());
         effects.extend(self.holders[router].take(chunks));
         let taken = effects.iter().any(|effect| matches!(effect, Effect::InForce(..)));
-        self.made.insert(if taken { "take" } else { "refuse" });
+        self.moves_made.insert(if taken { "take" } else { "refuse" });
         assert_eq!(taken, manifest.generation() > before);
         let generation = self.holders[router].generation();
-        assert!(generation >= self.had[router], "a router went back");
-        self.had[router] = generation;
+        assert!(generation >= self.highest[router], "a router went back to a lower generation");
+        self.highest[router] = generation;
         assert_eq!(self.holders[router].violations, 0);
         let document = self.holders[router].manifest().unwrap().change.document;
         let accepted = self.history.iter().find(|accepted| accepted.generation() == generation).unwrap();
-        assert_eq!(document, accepted.change.document, "one generation is one document");
+        assert_eq!(document, accepted.change.document, "a generation has only one document");
     }
 }
 
 #[test]
-fn in_every_order_generations_rise_and_operators_hear_the_truth() {
-    let mut made = BTreeSet::new();
-    for walk in 1..=WALKS {
-        let mut walk = Walk::new(walk);
+fn generations_only_rise_and_reported_outcomes_are_true_in_every_order() {
+    let mut moves_made = BTreeSet::new();
+    for number in 1..=WALKS {
+        let mut walk = Walk::new(number);
         let mut model = Model::new();
-        for _ in 0..DEPTH {
-            let moves = model.enabled();
-            let pick = walk.pick(moves.len());
-            model.make(moves[pick]);
+        for _ in 0..MOVES_PER_WALK {
+            let moves = model.enabled_moves();
+            let index = walk.pick(moves.len());
+            model.make_move(moves[index]);
         }
-        assert!(model.history.len() <= 2, "both of two racing operators were accepted");
-        made.extend(model.made);
+        assert!(model.history.len() <= 2, "the submissions of both operators were accepted");
+        moves_made.extend(model.moves_made);
     }
-    let made: BTreeSet<String> = made.into_iter().map(str::to_owned).collect();
-    assert_eq!(made, spec_moves("generations.pml"), "the code makes exactly the spec's moves");
+    let moves_made: BTreeSet<String> = moves_made.into_iter().map(str::to_owned).collect();
+    assert_eq!(moves_made, spec_moves("generations.pml"), "the code must make exactly the moves of the specification");
 }
--- a/crates/stairvale-control/tests/sweep.rs
+++ b/crates/stairvale-control/tests/sweep.rs
@@ -1,4 +1,4 @@
-//! Old chunks go, and no chunk goes that a configuration in force has, however submissions and sweeps interleave.
+//! Old chunks are deleted, but never a chunk of the configuration in force, however submissions and sweeps interleave.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, dead_code)]
 
@@ -17,36 +17,37 @@
 use stairvale_types::Moment;
 use store::Store;
 
-/// Submissions that run at once.
+/// Maximum number of concurrent submissions.
 const OPERATORS: usize = 2;
 
-struct Bench {
+struct Harness {
     store: Store,
     sweep: sweep::Machine,
-    wish: Option<Wish>,
+    /// The sweep's store call that hasn't been carried out yet.
+    pending_call: Option<Wish>,
     submissions: Vec<Option<(Machine, Step)>>,
     now: Moment,
-    number: u64,
+    submission_count: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         Self {
             store: Store::default(),
             sweep: sweep::Machine::default(),
-            wish: None,
+            pending_call: None,
             submissions: (0..OPERATORS).map(|_| None).collect(),
             now: Moment::from_millis(60_000),
-            number: 0,
+            submission_count: 0,
         }
     }
 
-    /// One of a few documents, so that chunks come back.
+    /// Starts a submission of one of four documents, so that chunks of earlier documents are used again.
     fn submit(&mut self, operator: usize, document: u8) {
         let base = self.store.manifest().map_or(Generation(0), |manifest| manifest.generation());
-        self.number += 1;
+        self.submission_count += 1;
         let machine = Machine::new(Submission {
-            id: format!("s{}", self.number),
+            id: format!("s{}", self.submission_count),
             operator: "op".parse().unwrap(),
             intent: Intent::Document {
                 text: format!("zones: []\nservices: []\ncustomers: []\noperators: []\n# {}\n", document % 4),
@@ -63,8 +64,8 @@
         if lost { Answer::Lost } else { answer }
     }
 
-    /// One step of a submission.
-    fn step(&mut self, operator: usize, lost: bool) {
+    /// Carries out one step of a submission.
+    fn step_submission(&mut self, operator: usize, lost: bool) {
         let Some((mut machine, step)) = self.submissions[operator].take() else {
             return;
         };
@@ -79,29 +80,30 @@
         }
     }
 
-    /// One step of the sweep.
-    fn sweep(&mut self, lost: bool) {
-        let Some(wish) = self.wish.take() else {
-            self.wish = self.sweep.tick(self.now, true);
+    /// Carries out one step of the sweep.
+    fn step_sweep(&mut self, lost: bool) {
+        let Some(call) = self.pending_call.take() else {
+            self.pending_call = self.sweep.tick(self.now, true);
             return;
         };
-        let (key, action) = match wish {
+        let (key, action) = match call {
             Wish::ReadChunk(chunk) => (apply::chunk_key(chunk), Action::Read),
             Wish::ReadManifest => (apply::MANIFEST_KEY.to_owned(), Action::Read),
             Wish::Delete(chunk, revision) => (apply::chunk_key(chunk), Action::Delete { revision }),
         };
         let answer = self.call(&key, action, lost);
-        self.wish = self.sweep.answer(self.now, &answer);
+        self.pending_call = self.sweep.answer(self.now, &answer);
     }
 
-    /// Time passes, but never ten minutes in the middle of a submission.
-    fn pass(&mut self, span: Duration) {
+    /// Advances the time, unless a submission runs, since a submission never takes as long as the hold time of ten
+    /// minutes.
+    fn advance_time(&mut self, span: Duration) {
         if self.submissions.iter().all(Option::is_none) {
             self.now = self.now + span;
         }
     }
 
-    fn has_all(&self) -> bool {
+    fn has_all_chunks_in_force(&self) -> bool {
         let Some(manifest) = self.store.manifest() else {
             return true;
         };
@@ -111,64 +113,64 @@
     fn apply(&mut self, document: u8) {
         self.submit(0, document);
         while self.submissions[0].is_some() {
-            self.step(0, false);
+            self.step_submission(0, false);
         }
     }
 }
 
 #[test]
 fn chunks_of_old_configurations_are_deleted() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     for document in [0, 1, 2, 3, 0] {
-        bench.apply(document);
+        harness.apply(document);
     }
-    assert_eq!(bench.store.count("config/chunk/"), 4);
-    bench.pass(KEEP);
+    assert_eq!(harness.store.count("config/chunk/"), 4);
+    harness.advance_time(KEEP);
     for _ in 0..20 {
-        bench.sweep(false);
+        harness.step_sweep(false);
     }
-    assert_eq!(bench.store.count("config/chunk/"), 4, "nothing goes before it was held");
-    bench.pass(HOLD);
+    assert_eq!(harness.store.count("config/chunk/"), 4, "no chunk is deleted before the hold time is over");
+    harness.advance_time(HOLD);
     for _ in 0..20 {
-        bench.sweep(false);
+        harness.step_sweep(false);
     }
-    assert_eq!((bench.store.count("config/chunk/"), bench.sweep.deleted), (1, 3));
-    assert!(bench.has_all());
+    assert_eq!((harness.store.count("config/chunk/"), harness.sweep.deleted), (1, 3));
+    assert!(harness.has_all_chunks_in_force());
 }
 
 #[test]
-fn a_chunk_that_comes_back_while_it_is_held_stays() {
-    let mut bench = Bench::new();
-    bench.apply(0);
-    bench.apply(1);
-    bench.pass(KEEP);
+fn a_chunk_that_is_used_again_during_the_hold_time_is_kept() {
+    let mut harness = Harness::new();
+    harness.apply(0);
+    harness.apply(1);
+    harness.advance_time(KEEP);
     for _ in 0..4 {
-        bench.sweep(false);
+        harness.step_sweep(false);
     }
-    bench.pass(HOLD);
-    // The sweep has looked at the manifest, and a submission brings the chunk back before the chunk is deleted.
-    bench.sweep(false);
-    bench.sweep(false);
-    assert!(matches!(bench.wish, Some(Wish::Delete(..))), "{:?}", bench.wish);
-    bench.apply(0);
-    bench.sweep(false);
-    assert!(bench.has_all(), "the chunk in force was deleted");
+    harness.advance_time(HOLD);
+    // The sweep has read the manifest, and a submission uses the chunk again before the chunk is deleted.
+    harness.step_sweep(false);
+    harness.step_sweep(false);
+    assert!(matches!(harness.pending_call, Some(Wish::Delete(..))), "{:?}", harness.pending_call);
+    harness.apply(0);
+    harness.step_sweep(false);
+    assert!(harness.has_all_chunks_in_force(), "the chunk in force was deleted");
 }
 
-fn whatever_interleaves(moves: Vec<(u8, u8, bool)>) -> TestResult {
-    let mut bench = Bench::new();
-    bench.apply(0);
-    for (kind, number, lost) in moves {
+fn keeps_chunks_in_force_when_interleaved(steps: Vec<(u8, u8, bool)>) -> TestResult {
+    let mut harness = Harness::new();
+    harness.apply(0);
+    for (kind, number, lost) in steps {
         let operator = usize::from(number) % OPERATORS;
         let lost = lost && number.is_multiple_of(4);
         match kind % 8 {
-            0 if bench.submissions[operator].is_none() => bench.submit(operator, number / 2),
-            0..=3 => bench.step(operator, lost),
-            4..=5 => bench.sweep(lost),
-            6 => bench.pass(HOLD),
-            _ => bench.pass(KEEP),
+            0 if harness.submissions[operator].is_none() => harness.submit(operator, number / 2),
+            0..=3 => harness.step_submission(operator, lost),
+            4..=5 => harness.step_sweep(lost),
+            6 => harness.advance_time(HOLD),
+            _ => harness.advance_time(KEEP),
         }
-        if !bench.has_all() {
+        if !harness.has_all_chunks_in_force() {
             return TestResult::failed();
         }
     }
@@ -180,5 +182,5 @@
     QuickCheck::new()
         .tests(3_000)
         .rng(quickcheck::Gen::from_size_and_seed(400, 1))
-        .quickcheck(whatever_interleaves as fn(Vec<(u8, u8, bool)>) -> TestResult);
+        .quickcheck(keeps_chunks_in_force_when_interleaved as fn(Vec<(u8, u8, bool)>) -> TestResult);
 }
--- a/crates/stairvale-control/tests/world/callers.rs
+++ b/crates/stairvale-control/tests/world/callers.rs
@@ -1,11 +1,11 @@
-//! What callers and operators do.
+//! Actions of callers and operators.
 
 use super::*;
 
 impl World {
-    /// A request comes in at a router.
-    pub fn request(&mut self, router: &str, service: &str, chat: Option<u64>, deadline: Duration) -> id::Attempt {
-        let attempt = id::Attempt(self.number());
+    /// Sends a request to a router and returns its attempt.
+    pub fn send_request(&mut self, router: &str, service: &str, chat: Option<u64>, deadline: Duration) -> id::Attempt {
+        let attempt = id::Attempt(self.next_number());
         let customer = format!("customer-{}", self.rng.random_range(0..4));
         let request = Request {
             attempt,
@@ -22,14 +22,15 @@
             retry: false,
             avoid: Vec::new(),
         };
-        self.fates.insert(attempt, Fate::Asking);
-        self.entries.insert(attempt, router.to_owned());
+        self.request_states.insert(attempt, RequestState::Waiting);
+        self.entry_routers.insert(attempt, router.to_owned());
         self.input_now(router, Input::Request(request));
         attempt
     }
 
-    /// A request of the customer that has a rate comes in at a router, which lets it pass by what it was told.
-    pub fn ask_limited(&mut self, router: &str) -> bool {
+    /// Sends a request of the rate-limited customer to a router, which lets it pass with the share that it received.
+    /// Returns whether the request passed.
+    pub fn send_limited_request(&mut self, router: &str) -> bool {
         let customer: id::Customer = "limited".parse().unwrap();
         let fraction = self.shares.get(&(router.to_owned(), customer.clone())).copied().unwrap_or(Fraction::ALL);
         let passed = self.rng.random_ratio(fraction.millionths(), 1_000_000);
@@ -37,67 +38,68 @@
         passed
     }
 
-    /// A caller gives up.
-    pub fn give_up(&mut self, router: &str, attempt: id::Attempt) {
-        self.finish(router, attempt);
+    /// Ends a request because its caller has given up.
+    pub fn abandon_request(&mut self, router: &str, attempt: id::Attempt) {
+        self.end_request(router, attempt);
     }
 
-    /// A request with an idempotency key comes in at a router.
-    pub fn claim(&mut self, router: &str, key: u128) -> id::Attempt {
-        let attempt = id::Attempt(self.number());
-        // Spread over shards as real keys are.
+    /// Sends a request with an idempotency key to a router and returns its attempt.
+    pub fn send_claim(&mut self, router: &str, key: u128) -> id::Attempt {
+        let attempt = id::Attempt(self.next_number());
+        // Distributes the keys evenly over the shards, as random keys are.
         let key = id::Key(key.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835));
         self.claim_keys.insert(attempt, key);
         self.input_now(router, Input::Claim { key, attempt });
         attempt
     }
 
-    /// A frame comes in once more, as if the network had kept a copy.
-    pub fn frame(&mut self, router: &str, from: &str, frame: stairvale_wire::Frame) {
+    /// Delivers a frame to a router, such as a second copy that the network held back.
+    pub fn deliver_frame(&mut self, router: &str, from: &str, frame: stairvale_wire::Frame) {
         self.input_now(router, Input::Frame { from: from.parse().unwrap(), frame });
     }
 
-    /// A router is told to stop as planned.
-    pub fn leave(&mut self, router: &str) {
+    /// Starts a router's planned stop.
+    pub fn begin_stop(&mut self, router: &str) {
         self.routers.get_mut(router).unwrap().leaving = true;
         self.input_now(router, Input::Leave);
     }
 
-    /// An operator submits a document at a router and waits for the end.
+    /// Submits a document at a router and runs the submission to its outcome.
     pub fn apply(&mut self, router: &str, text: &str, base: u64, submission: &str) -> Outcome {
         let machine = self.submission(text, base, submission);
-        self.submit(router, machine)
+        self.run_submission(router, machine)
     }
 
-    /// An operator evacuates a zone at a router, or takes it back, and waits for the end.
+    /// Submits the evacuation of a zone, or its restoration, at a router and runs the submission to its outcome.
     pub fn evacuate(&mut self, router: &str, zone: &str, evacuated: bool, submission: &str) -> Outcome {
         let zone = zone.parse().unwrap();
         let intent = if evacuated { Intent::Evacuate(zone) } else { Intent::Restore(zone) };
-        let machine = self.intend(intent, submission);
-        self.submit(router, machine)
+        let machine = self.submission_of(intent, submission);
+        self.run_submission(router, machine)
     }
 
-    fn submit(&mut self, router: &str, mut machine: Machine) -> Outcome {
+    fn run_submission(&mut self, router: &str, mut machine: Machine) -> Outcome {
         let mut step = machine.start();
         loop {
             match step {
                 Step::Done(outcome) => {
-                    self.accepted(router, &machine, &outcome);
+                    self.notify_accepted(router, &machine, &outcome);
                     return outcome;
                 }
                 Step::Call(key, action) => {
-                    let answer = self.store_call(&key, action);
+                    let answer = self.call_store(&key, action);
                     step = machine.answer(answer);
                 }
             }
         }
     }
 
+    /// Creates the submission of a document based on a generation.
     pub fn submission(&self, text: &str, base: u64, submission: &str) -> Machine {
-        self.intend(Intent::Document { text: text.to_owned(), base: Generation(base) }, submission)
+        self.submission_of(Intent::Document { text: text.to_owned(), base: Generation(base) }, submission)
     }
 
-    fn intend(&self, intent: Intent, submission: &str) -> Machine {
+    fn submission_of(&self, intent: Intent, submission: &str) -> Machine {
         Machine::new(Submission {
             id: submission.to_owned(),
             operator: "op".parse().unwrap(),
@@ -106,18 +108,20 @@
         })
     }
 
-    pub fn accepted(&mut self, router: &str, machine: &Machine, outcome: &Outcome) {
+    /// Passes an accepted manifest and its chunks to the router at which it was submitted.
+    pub fn notify_accepted(&mut self, router: &str, machine: &Machine, outcome: &Outcome) {
         if let Outcome::Accepted(manifest) = outcome {
             let chunks = machine.chunks().to_vec();
             self.input_now(router, Input::Accepted { manifest: manifest.clone(), chunks });
         }
     }
 
-    pub fn store_call(&mut self, key: &str, action: Action) -> Answer {
-        if self.faults.store_down {
+    /// Calls the store. During a store outage the call has no effect; otherwise its answer may be lost.
+    pub fn call_store(&mut self, key: &str, action: Action) -> Answer {
+        if self.faults.store_outage {
             return Answer::Lost;
         }
         let answer = self.store.call(self.now, key, action);
-        if self.rng.random_bool(self.faults.lost_answers) { Answer::Lost } else { answer }
+        if self.rng.random_bool(self.faults.lost_answer_rate) { Answer::Lost } else { answer }
     }
 }
--- a/crates/stairvale-control/tests/world/holds.rs
+++ b/crates/stairvale-control/tests/world/holds.rs
@@ -1,53 +1,54 @@
-//! What must hold, whatever happened.
+//! Invariants that must hold whatever happened.
 
 use super::*;
 
 impl World {
-    /// Every account agrees with what really runs; call it when the world has been quiet for a while.
+    /// Asserts that every account agrees with the requests that run. Call it only after a time without new faults and
+    /// requests.
     pub fn assert_no_leaks(&self) {
-        for slot in self.routers.values().filter(|slot| slot.alive) {
-            let name = slot.node.home().router();
-            assert_eq!(slot.node.entry().asking(), 0, "{name} still asks");
-            for upstream in slot.node.home().upstreams() {
-                let held = slot.node.home().outstanding(upstream).unwrap_or(0);
+        for router in self.routers.values().filter(|router| router.alive) {
+            let name = router.node.home().router();
+            assert_eq!(router.node.entry().asking(), 0, "{name} still has requests that wait for a permit");
+            for upstream in router.node.home().upstreams() {
+                let held = router.node.home().outstanding(upstream).unwrap_or(0);
                 let runs = self.engines[upstream.as_str()].running.len();
-                assert_eq!(held, runs, "{name} holds {held} of {upstream}, where {runs} run");
+                assert_eq!(held, runs, "{name} counts {held} permits of {upstream}, where {runs} requests run");
             }
         }
     }
 
-    /// No request waits for ever.
-    pub fn assert_all_told(&self) {
-        let asking = self.fates.values().filter(|fate| **fate == Fate::Asking).count();
-        assert_eq!(asking, 0, "{asking} requests were never told anything");
+    /// Asserts that no request waits any more, so that each one got an outcome.
+    pub fn assert_no_request_waits(&self) {
+        let waiting = self.request_states.values().filter(|state| **state == RequestState::Waiting).count();
+        assert_eq!(waiting, 0, "{waiting} requests got no outcome");
     }
 
-    /// No key ran twice, and what was told about a claim is true.
+    /// Asserts that no key ran twice and that the verdict on each claim is true.
     pub fn assert_at_most_once(&self) {
-        for (key, ran) in &self.ran {
+        for (key, ran) in &self.executions {
             assert!(ran.len() <= 1, "key {key} ran {} times", ran.len());
         }
-        for (attempt, verdict) in &self.claims {
-            let ran = self.ran.get(&self.claim_keys[attempt]).is_some_and(|ran| ran.contains(attempt));
+        for (attempt, verdict) in &self.claim_verdicts {
+            let ran = self.executions.get(&self.claim_keys[attempt]).is_some_and(|ran| ran.contains(attempt));
             let may_run = matches!(verdict, ClaimVerdict::Yours { .. });
-            assert!(may_run || !ran, "{attempt} was told {verdict:?}, but ran");
-            let told_ran = matches!(verdict, ClaimVerdict::Ran(_));
+            assert!(may_run || !ran, "{attempt} ran after the verdict {verdict:?}");
+            let has_stored_answer = matches!(verdict, ClaimVerdict::Ran(_));
             assert!(
-                !told_ran || self.ran.contains_key(&self.claim_keys[attempt]),
-                "{attempt} was told of a run that wasn't"
+                !has_stored_answer || self.executions.contains_key(&self.claim_keys[attempt]),
+                "{attempt} received the answer of a run that didn't happen"
             );
         }
     }
 
-    /// All live routers have what the store says.
+    /// Asserts that all live routers have the store's generation in force.
     pub fn assert_one_generation(&self) {
         let in_store = self.store.manifest().map_or(Generation(0), |manifest| manifest.generation());
-        for (name, slot) in self.routers.iter().filter(|(_, slot)| slot.alive) {
-            assert_eq!(slot.generation, in_store, "{name} doesn't have what is accepted");
+        for (name, router) in self.routers.iter().filter(|(_, router)| router.alive) {
+            assert_eq!(router.generation, in_store, "{name} doesn't have the accepted generation in force");
         }
     }
 
-    /// The largest load over the mean, of engines that live.
+    /// The largest load of the live chat engines, as a multiple of their mean load; 1 when none has load.
     #[allow(clippy::cast_precision_loss)]
     pub fn skew(&self) -> f64 {
         let loads: Vec<_> =
--- a/crates/stairvale-control/tests/world/mod.rs
+++ b/crates/stairvale-control/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! Several nodes, engines and a store in one deterministic world: time, messages and faults come from a seed.
+//! A deterministic simulation of several nodes, engines and a store, whose timing, messages and faults come from a
+//! seed.
 //!
-//! The nodes are the program's own; everything around them is a small fake. What must always hold is asserted here or
-//! counted by the nodes as a violation.
+//! The nodes run the production code; everything around them is a small fake. Invariants are asserted here or counted
+//! by the nodes as violations.
 
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
@@ -39,7 +40,7 @@
 
 use store::Store;
 
-/// The document of all worlds.
+/// The initial configuration document of every simulation.
 pub const DOCUMENT: &str = "\
 zones:
   - {name: a, region: r}
@@ -63,183 +64,186 @@
 operators: []
 ";
 
-/// What goes wrong.
+/// The faults to inject.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// Datagrams lost, from 0 to 1.
-    pub loss: f64,
-    /// Datagrams and frames that come twice.
-    pub doubled: f64,
-    /// The longest delay of a message, in microseconds.
-    pub delay_us: u64,
-    /// No news of upstreams rides on datagrams.
-    pub no_news: bool,
-    /// Pairs of availability zones that don't hear each other.
-    pub cuts: HashSet<(String, String)>,
-    /// Answers of the store that are lost after the call took effect.
-    pub lost_answers: f64,
-    /// The store refuses everything.
-    pub store_down: bool,
+    /// The fraction of datagrams that are lost, from 0 to 1.
+    pub datagram_loss: f64,
+    /// The fraction of datagrams and frames that are delivered twice, from 0 to 1.
+    pub duplication: f64,
+    /// The maximum delay of a message, in microseconds.
+    pub max_delay_us: u64,
+    /// Whether updates about upstreams are removed from datagrams.
+    pub drop_upstream_updates: bool,
+    /// Ordered pairs of availability zones between which the network is cut; `platform` stands for the store.
+    pub partitions: HashSet<(String, String)>,
+    /// The fraction of the store's answers that are lost after the call took effect, from 0 to 1.
+    pub lost_answer_rate: f64,
+    /// Whether the store fails all calls without carrying them out.
+    pub store_outage: bool,
 }
 
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            loss: 0.0,
-            doubled: 0.0,
-            delay_us: 2_000,
-            no_news: false,
-            cuts: HashSet::new(),
-            lost_answers: 0.0,
-            store_down: false,
+            datagram_loss: 0.0,
+            duplication: 0.0,
+            max_delay_us: 2_000,
+            drop_upstream_updates: false,
+            partitions: HashSet::new(),
+            lost_answer_rate: 0.0,
+            store_outage: false,
         }
     }
 }
 
-/// A router's place in the world.
-pub struct Slot {
-    /// Its decisions.
+/// A simulated router.
+pub struct SimRouter {
+    /// The node under test.
     pub node: Node,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: String,
-    /// Its address.
+    /// The router's address.
     pub address: SocketAddr,
-    /// Whether it lives.
+    /// Whether the router runs.
     pub alive: bool,
-    /// Until when it is frozen.
+    /// The end of the latest pause, in microseconds.
     pub paused_until: u64,
-    /// When it was started; its own clock counts from there.
+    /// The start time in microseconds, from which the router's own clock counts.
     pub started: u64,
-    /// Whether it was told to stop, so that the balancer sends it nobody.
+    /// Whether a planned stop has begun, so that the load balancer sends it no requests.
     pub leaving: bool,
-    /// The highest generation it ever had in this life.
+    /// The highest generation that was in force in this incarnation.
     pub generation: Generation,
     settings: Settings,
-    life: u64,
+    /// A counter of crashes and restarts, so that events for an earlier incarnation are dropped.
+    incarnation: u64,
 }
 
-/// A fake upstream.
+/// A simulated upstream.
 pub struct Engine {
-    /// Its service.
+    /// The service that the upstream belongs to.
     pub service: String,
-    /// Its availability zone.
+    /// The upstream's availability zone.
     pub zone: String,
-    /// Whether it answers.
+    /// Whether the upstream runs and answers.
     pub alive: bool,
-    /// Whether it says that it drains.
+    /// Whether the upstream reports that it drains.
     pub draining: bool,
-    /// Its life.
+    /// The upstream's incarnation, which its reports carry.
     pub boot: u64,
-    /// Its changes in this life.
+    /// The number of state changes in this incarnation.
     pub change: u64,
-    /// What runs, with the entry.
+    /// The running attempts, with the entry router of each.
     pub running: HashMap<id::Attempt, String>,
-    /// When it last took work, and when it began to drain.
-    pub last_work: u64,
-    /// When it began to drain or died.
+    /// The time at which the upstream last received a request, in microseconds.
+    pub last_request_at: u64,
+    /// The time at which the upstream began to drain or crashed, in microseconds.
     pub closed_at: Option<u64>,
-    /// The model that it has loaded; none if it is no model engine.
+    /// The loaded model; `None` if the upstream isn't a model engine.
     pub loaded: Option<Loaded>,
-    /// The highest fencing token of an order; it takes older ones all the same.
-    pub token: u64,
-    /// Orders that came after one with a higher token.
+    /// The highest fencing token of an order so far. The upstream carries out orders with lower tokens as well.
+    pub highest_token: u64,
+    /// The number of orders that came after one with a higher token.
     pub stale_orders: u64,
     address: SocketAddr,
 }
 
-/// How a request stands.
+/// The state of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    /// It waits.
-    Asking,
-    /// It runs at an upstream.
+pub enum RequestState {
+    /// The request waits for a permit.
+    Waiting,
+    /// The request runs at an upstream.
     Running(id::Upstream),
-    /// It ended.
+    /// The request ended, by completion, failure or the caller's giving up.
     Done,
-    /// It was refused.
+    /// The request was refused.
     Refused(Refusal),
-    /// Its entry died.
-    Gone,
+    /// The request's entry router crashed.
+    EntryDied,
 }
 
+/// An event in the queue. Each carries a router's name and, as a number, the incarnation that it is meant for.
 #[derive(Debug)]
 enum Event {
     Tick(String, u64),
     Input(String, u64, Input),
-    End(String, u64, id::Attempt),
+    EndRequest(String, u64, id::Attempt),
     Store(String, u64, Call),
-    Run(String, u64, id::Key, id::Attempt),
+    RunClaimed(String, u64, id::Key, id::Attempt),
 }
 
-struct Timed {
+struct ScheduledEvent {
     at: u64,
-    order: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Timed {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Timed {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Timed {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// The world.
+/// The simulated fleet, with its clock and event queue.
 pub struct World {
-    /// Now, in microseconds.
+    /// The current time, in microseconds.
     pub now: u64,
-    /// The routers.
-    pub routers: BTreeMap<String, Slot>,
-    /// The upstreams.
+    /// The routers by name, crashed ones included.
+    pub routers: BTreeMap<String, SimRouter>,
+    /// The upstreams by name, crashed ones included.
     pub engines: BTreeMap<String, Engine>,
     /// The platform's store.
     pub store: Store,
-    /// What goes wrong.
+    /// The faults that are injected at present.
     pub faults: Faults,
-    /// How every request stands.
-    pub fates: HashMap<id::Attempt, Fate>,
-    /// The router that each request came in at.
-    pub entries: HashMap<id::Attempt, String>,
-    /// Attempts that ran for each key.
-    pub ran: HashMap<id::Key, Vec<id::Attempt>>,
-    /// The shares of customers' asks that routers were told.
+    /// The state of every request.
+    pub request_states: HashMap<id::Attempt, RequestState>,
+    /// The entry router of each request.
+    pub entry_routers: HashMap<id::Attempt, String>,
+    /// The attempts that ran for each idempotency key.
+    pub executions: HashMap<id::Key, Vec<id::Attempt>>,
+    /// The shares of customers' requests that may pass, by router and customer.
     pub shares: HashMap<(String, id::Customer), Fraction>,
-    /// Attempts whose answer an entry may hand out.
+    /// Attempts whose answer the entry router may hand out, since the owner of the claim has recorded it.
     pub answered: HashSet<id::Attempt>,
-    /// What was told about claims.
-    pub claims: HashMap<id::Attempt, ClaimVerdict>,
-    /// Keys of claims.
+    /// The verdicts on claims.
+    pub claim_verdicts: HashMap<id::Attempt, ClaimVerdict>,
+    /// The idempotency keys of claims.
     pub claim_keys: HashMap<id::Attempt, id::Key>,
-    /// Grants, in order, with the time.
+    /// All grants in order, with their times in microseconds.
     pub grants: Vec<(u64, Grant)>,
-    /// All randomness.
+    /// The source of all randomness in the simulation.
     pub rng: ChaCha8Rng,
-    /// The share of claimed requests whose outcome is told.
-    pub settles: f64,
-    /// How long a request runs, in microseconds.
-    pub runs_for: (u64, u64),
-    queue: BinaryHeap<Reverse<Timed>>,
-    links: HashMap<(String, String), u64>,
-    order: u64,
-    numbers: u128,
+    /// The probability that the outcome of a claimed request is reported.
+    pub settle_probability: f64,
+    /// The range of the run time of a request, in microseconds.
+    pub run_time_range_us: (u64, u64),
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// The time at which the last frame arrives, by sender and receiver.
+    last_frame_times: HashMap<(String, String), u64>,
+    sequence: u64,
+    last_number: u128,
     vm_revision: u64,
 }
 
 impl World {
-    /// A world of routers a zone and engines a zone, in three zones.
+    /// Creates three zones, each with this many routers and chat engines, and one upstream of the plain service.
     pub fn new(seed: u64, routers: usize, engines: usize) -> Self {
         let mut world = Self {
             now: 1_000_000,
@@ -247,21 +251,21 @@
             engines: BTreeMap::new(),
             store: Store::default(),
             faults: Faults::default(),
-            fates: HashMap::new(),
-            entries: HashMap::new(),
-            ran: HashMap::new(),
+            request_states: HashMap::new(),
+            entry_routers: HashMap::new(),
+            executions: HashMap::new(),
             shares: HashMap::new(),
             answered: HashSet::new(),
-            claims: HashMap::new(),
+            claim_verdicts: HashMap::new(),
             claim_keys: HashMap::new(),
             grants: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            settles: 0.8,
-            runs_for: (50_000, 600_000),
+            settle_probability: 0.8,
+            run_time_range_us: (50_000, 600_000),
             queue: BinaryHeap::new(),
-            links: HashMap::new(),
-            order: 0,
-            numbers: 0,
+            last_frame_times: HashMap::new(),
+            sequence: 0,
+            last_number: 0,
             vm_revision: 1,
         };
         for zone in ["a", "b", "c"] {
@@ -278,7 +282,7 @@
         world
     }
 
-    /// A world whose routers have a configuration and know each other.
+    /// Creates a simulation in which the configuration is in force and all routers have joined.
     pub fn settled(seed: u64, routers: usize, engines: usize) -> Self {
         let mut world = Self::new(seed, routers, engines);
         assert!(matches!(world.apply("a-router-0", DOCUMENT, 0, "first"), Outcome::Accepted(_)));
@@ -287,75 +291,76 @@
     }
 
     // ------------------------------------------------------------------------
-    // Time.
+    // Time and events.
 
-    /// Lets the world run.
+    /// Advances the time by `span` and processes the events that fall due.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + micros(span);
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at > until {
                 break;
             }
-            let Reverse(timed) = self.queue.pop().unwrap();
-            self.now = self.now.max(timed.at);
-            self.event(timed.event);
+            let Reverse(scheduled) = self.queue.pop().unwrap();
+            self.now = self.now.max(scheduled.at);
+            self.process_event(scheduled.event);
         }
         self.now = until;
     }
 
-    fn event(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
-            Event::Tick(name, life) => {
-                if !self.is_life(&name, life) {
+            Event::Tick(name, incarnation) => {
+                if !self.is_current(&name, incarnation) {
                     return;
                 }
                 let paused = self.routers[&name].paused_until;
                 if paused > self.now {
-                    self.push(paused, Event::Tick(name, life));
+                    self.schedule(paused, Event::Tick(name, incarnation));
                     return;
                 }
                 self.handle(&name, Input::Tick);
-                self.push(self.now + micros(TICK), Event::Tick(name, life));
+                self.schedule(self.now + micros(TICK), Event::Tick(name, incarnation));
             }
-            Event::Input(name, life, input) => {
-                if !self.is_life(&name, life) {
+            Event::Input(name, incarnation, input) => {
+                if !self.is_current(&name, incarnation) {
                     return;
                 }
                 let paused = self.routers[&name].paused_until;
                 if paused > self.now {
-                    self.push(paused, Event::Input(name, life, input));
+                    self.schedule(paused, Event::Input(name, incarnation, input));
                     return;
                 }
                 self.handle(&name, input);
             }
-            Event::End(name, life, attempt) => {
-                if self.is_life(&name, life) {
-                    self.finish(&name, attempt);
+            Event::EndRequest(name, incarnation, attempt) => {
+                if self.is_current(&name, incarnation) {
+                    self.end_request(&name, attempt);
                 }
             }
-            Event::Store(name, life, call) => {
+            Event::Store(name, incarnation, call) => {
                 let Call { purpose, key, action } = call;
-                let cut = self.faults.cuts.contains(&(self.routers[&name].zone.clone(), "platform".to_owned()));
-                let answer = if cut { Answer::Lost } else { self.store_call(&key, action) };
+                let is_cut_off =
+                    self.faults.partitions.contains(&(self.routers[&name].zone.clone(), "platform".to_owned()));
+                let answer = if is_cut_off { Answer::Lost } else { self.call_store(&key, action) };
                 let delay = if answer == Answer::Lost { 1_500_000 } else { self.delay() };
-                self.push(self.now + delay, Event::Input(name, life, Input::Store { purpose, answer }));
+                self.schedule(self.now + delay, Event::Input(name, incarnation, Input::Store { purpose, answer }));
             }
-            Event::Run(name, life, key, attempt) => {
+            Event::RunClaimed(name, incarnation, key, attempt) => {
                 let paused = self.routers[&name].paused_until;
                 if paused > self.now {
-                    // A frozen entry sends when it goes on, without knowing that it was frozen.
-                    self.push(paused, Event::Run(name, life, key, attempt));
+                    // A paused entry router sends the request when it resumes, since it doesn't notice the pause.
+                    self.schedule(paused, Event::RunClaimed(name, incarnation, key, attempt));
                     return;
                 }
-                if self.is_life(&name, life) {
-                    self.ran.entry(key).or_default().push(attempt);
+                if self.is_current(&name, incarnation) {
+                    self.executions.entry(key).or_default().push(attempt);
                     let stored = Stored {
                         print: id::Print(1),
                         status: 200,
                         content_type: "text/plain".into(),
                         body: Some("done".into()),
                     };
-                    if self.rng.random_bool(self.settles) {
+                    if self.rng.random_bool(self.settle_probability) {
                         self.input_now(&name, Input::Settle { key, attempt, stored: Some(stored) });
                     }
                 }
@@ -363,85 +368,92 @@
         }
     }
 
-    fn is_life(&self, name: &str, life: u64) -> bool {
-        let slot = &self.routers[name];
-        slot.alive && slot.life == life
+    fn is_current(&self, name: &str, incarnation: u64) -> bool {
+        let router = &self.routers[name];
+        router.alive && router.incarnation == incarnation
     }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse(Timed { at, order: self.order, event }));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
     fn input_now(&mut self, name: &str, input: Input) {
-        let life = self.routers[name].life;
-        self.push(self.now, Event::Input(name.to_owned(), life, input));
+        let incarnation = self.routers[name].incarnation;
+        self.schedule(self.now, Event::Input(name.to_owned(), incarnation, input));
     }
 
     fn delay(&mut self) -> u64 {
-        self.rng.random_range(200..=self.faults.delay_us.max(201))
+        self.rng.random_range(200..=self.faults.max_delay_us.max(201))
     }
 
     // ------------------------------------------------------------------------
     // Nodes.
 
     fn handle(&mut self, name: &str, input: Input) {
-        let slot = self.routers.get_mut(name).unwrap();
-        let moment = Moment(self.now - slot.started);
-        let outputs = slot.node.handle(moment, self.now / 1_000, input);
-        let generation = slot.node.manifest().map_or(Generation(0), stairvale_config::Manifest::generation);
-        assert!(generation >= slot.generation, "{name} went back from {} to {generation}", slot.generation);
-        slot.generation = generation;
-        assert_eq!(slot.node.stats().violations, 0, "{name} counts a broken invariant");
+        let router = self.routers.get_mut(name).unwrap();
+        let moment = Moment(self.now - router.started);
+        let outputs = router.node.handle(moment, self.now / 1_000, input);
+        let generation = router.node.manifest().map_or(Generation(0), stairvale_config::Manifest::generation);
+        assert!(
+            generation >= router.generation,
+            "{name} went back from generation {} to {generation}",
+            router.generation
+        );
+        router.generation = generation;
+        assert_eq!(router.node.stats().violations, 0, "{name} counted a violated invariant");
         for output in outputs {
-            self.output(name, output);
+            self.process_output(name, output);
         }
     }
 
-    fn output(&mut self, name: &str, output: Output) {
+    fn process_output(&mut self, name: &str, output: Output) {
         match output {
             Output::Frame { to, frame, .. } => self.send_frame(name, to.as_str(), frame),
             Output::Datagram { to, packet } => self.send_datagram(name, to, packet),
-            Output::Granted(grant) => self.granted(name, grant),
+            Output::Granted(grant) => self.start_granted(name, grant),
             Output::Refused { attempt, refusal } => {
-                let before = self.fates[&attempt].clone();
-                // A caller may give up while the refusal is on its way.
-                assert!(matches!(before, Fate::Asking | Fate::Done), "{attempt} was refused after {before:?}");
-                if before == Fate::Asking {
-                    self.fates.insert(attempt, Fate::Refused(refusal));
+                let before = self.request_states[&attempt].clone();
+                // A caller may give up while the refusal is in transit.
+                assert!(
+                    matches!(before, RequestState::Waiting | RequestState::Done),
+                    "{attempt} was refused in state {before:?}"
+                );
+                if before == RequestState::Waiting {
+                    self.request_states.insert(attempt, RequestState::Refused(refusal));
                 }
             }
-            Output::Claimed { attempt, verdict } => self.claimed(name, attempt, &verdict),
+            Output::Claimed { attempt, verdict } => self.record_verdict(name, attempt, &verdict),
             Output::Noted { attempt } => drop(self.answered.insert(attempt)),
             Output::Probe { upstream, .. } => self.probe(name, &upstream),
             Output::Store(call) => {
-                let life = self.routers[name].life;
+                let incarnation = self.routers[name].incarnation;
                 let delay = match &call.action {
                     Action::Watch { .. } => 100_000,
                     _ => self.delay(),
                 };
-                self.push(self.now + delay, Event::Store(name.to_owned(), life, call));
+                self.schedule(self.now + delay, Event::Store(name.to_owned(), incarnation, call));
             }
             Output::FetchVms => {
-                if self.faults.store_down {
+                if self.faults.store_outage {
                     return;
                 }
                 let vms = self.vms();
                 self.input_now(name, Input::Vms(Some((self.vm_revision, vms))));
             }
             Output::Share { customer, fraction } => drop(self.shares.insert((name.to_owned(), customer), fraction)),
-            Output::Order(order) => self.order(name, &order),
+            Output::Order(order) => self.apply_order(name, &order),
             Output::InForce { .. } | Output::FleetChanged | Output::Audit(_) => {}
         }
     }
 
     fn vms(&self) -> Vec<Vm> {
-        let routers = self.routers.iter().map(|(name, slot)| Vm {
+        let routers = self.routers.iter().map(|(name, router)| Vm {
             name: name.clone(),
             role: Role::Router,
-            zone: slot.zone.parse().unwrap(),
+            zone: router.zone.parse().unwrap(),
             service: None,
-            address: slot.address,
+            address: router.address,
             weight: 1,
             leaving: false,
         });
@@ -462,7 +474,7 @@
     u64::try_from(span.as_micros()).unwrap()
 }
 
-/// What a claim's record was asked for; used to count writes.
+/// Whether a store call is about claims; used to count writes.
 pub fn is_claim(purpose: &Purpose) -> bool {
     matches!(purpose, Purpose::Claims(_))
 }
--- a/crates/stairvale-control/tests/world/network.rs
+++ b/crates/stairvale-control/tests/world/network.rs
@@ -1,51 +1,53 @@
-//! How messages get from router to router, or not.
+//! Delivery of messages between routers, with delays, loss and partitions.
 
 use super::*;
 
 impl World {
-    fn is_cut(&self, from: &str, to: &str) -> bool {
+    fn is_partitioned(&self, from: &str, to: &str) -> bool {
         let (from, to) = (&self.routers[from].zone, &self.routers[to].zone);
-        self.faults.cuts.contains(&(from.clone(), to.clone()))
+        self.faults.partitions.contains(&(from.clone(), to.clone()))
     }
 
-    /// Frames of a stream keep their order. A dead peer is noticed soon, a cut one after the connection's time limit.
+    /// Delivers a frame in the order of its stream. A dead peer is reported as unreachable after 2 ms, and a peer
+    /// behind a partition after the connection's timeout of 400 ms.
     pub(super) fn send_frame(&mut self, from: &str, to: &str, frame: stairvale_wire::Frame) {
-        let life = self.routers[from].life;
-        if self.is_cut(from, to) || !self.routers[to].alive {
-            let wait = if self.is_cut(from, to) { 400_000 } else { 2_000 };
+        let sender_incarnation = self.routers[from].incarnation;
+        if self.is_partitioned(from, to) || !self.routers[to].alive {
+            let report_delay_us = if self.is_partitioned(from, to) { 400_000 } else { 2_000 };
             let input = Input::PeerUnreachable(to.parse().unwrap());
-            self.push(self.now + wait, Event::Input(from.to_owned(), life, input));
+            self.schedule(self.now + report_delay_us, Event::Input(from.to_owned(), sender_incarnation, input));
             return;
         }
         let delay = self.delay();
-        let link = self.links.entry((from.to_owned(), to.to_owned())).or_default();
-        let at = (self.now + delay).max(*link + 1);
-        *link = at;
-        let there = self.routers[to].life;
+        let last_frame_at = self.last_frame_times.entry((from.to_owned(), to.to_owned())).or_default();
+        let at = (self.now + delay).max(*last_frame_at + 1);
+        *last_frame_at = at;
+        let receiver_incarnation = self.routers[to].incarnation;
         let input = Input::Frame { from: from.parse().unwrap(), frame };
-        if self.rng.random_bool(self.faults.doubled) {
-            self.push(at + 1, Event::Input(to.to_owned(), there, input.clone()));
+        if self.rng.random_bool(self.faults.duplication) {
+            self.schedule(at + 1, Event::Input(to.to_owned(), receiver_incarnation, input.clone()));
         }
-        self.push(at, Event::Input(to.to_owned(), there, input));
+        self.schedule(at, Event::Input(to.to_owned(), receiver_incarnation, input));
     }
 
+    /// Delivers a datagram, unless it is lost or its receiver is dead or behind a partition.
     pub(super) fn send_datagram(&mut self, from: &str, to: SocketAddr, mut packet: stairvale_wire::Packet) {
-        if self.faults.no_news {
+        if self.faults.drop_upstream_updates {
             packet.updates.retain(|update| matches!(update, stairvale_wire::Update::Member(_)));
         }
-        let Some((name, slot)) = self.routers.iter().find(|(_, slot)| slot.address == to) else {
+        let Some((name, router)) = self.routers.iter().find(|(_, router)| router.address == to) else {
             return;
         };
-        let (name, life, alive) = (name.clone(), slot.life, slot.alive);
-        if !alive || self.is_cut(from, &name) || self.rng.random_bool(self.faults.loss) {
+        let (name, incarnation, alive) = (name.clone(), router.incarnation, router.alive);
+        if !alive || self.is_partitioned(from, &name) || self.rng.random_bool(self.faults.datagram_loss) {
             return;
         }
         let source = self.routers[from].address;
         let input = Input::Datagram { from: source, packet };
         let delay = self.delay();
-        if self.rng.random_bool(self.faults.doubled) {
-            self.push(self.now + 2 * delay, Event::Input(name.clone(), life, input.clone()));
+        if self.rng.random_bool(self.faults.duplication) {
+            self.schedule(self.now + 2 * delay, Event::Input(name.clone(), incarnation, input.clone()));
         }
-        self.push(self.now + delay, Event::Input(name, life, input));
+        self.schedule(self.now + delay, Event::Input(name, incarnation, input));
     }
 }
--- a/crates/stairvale-control/tests/world/parts.rs
+++ b/crates/stairvale-control/tests/world/parts.rs
@@ -1,8 +1,9 @@
-//! Routers and upstreams that come, go, freeze and are cut off.
+//! Starts, stops, crashes and pauses of routers and upstreams, and network partitions.
 
 use super::*;
 
 impl World {
+    /// Adds an upstream of a service in a zone.
     pub fn add_engine(&mut self, name: &str, service: &str, zone: &str) {
         let port = 10_000 + u16::try_from(self.engines.len()).unwrap();
         let engine = Engine {
@@ -13,10 +14,10 @@
             boot: self.now,
             change: 0,
             running: HashMap::new(),
-            last_work: 0,
+            last_request_at: 0,
             closed_at: None,
             loaded: None,
-            token: 0,
+            highest_token: 0,
             stale_orders: 0,
             address: SocketAddr::from(([127, 0, 0, 1], port)),
         };
@@ -24,15 +25,16 @@
         self.vm_revision += 1;
     }
 
+    /// Starts a new router in a zone, with all present routers as its seeds.
     pub fn add_router(&mut self, name: &str, zone: &str) {
         let port = 20_000 + u16::try_from(self.routers.len()).unwrap();
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let seeds = self.routers.values().map(|slot| slot.address).collect();
+        let seeds = self.routers.values().map(|router| router.address).collect();
         let settings = Settings::new(name.parse().unwrap(), zone.parse().unwrap(), address)
             .with_seeds(seeds)
             .with_seed(self.rng.random())
             .with_policy(Policy::Fleet);
-        let slot = Slot {
+        let router = SimRouter {
             node: Node::new(settings.clone()),
             zone: zone.to_owned(),
             address,
@@ -42,62 +44,66 @@
             leaving: false,
             generation: Generation(0),
             settings,
-            life: 1,
+            incarnation: 1,
         };
-        self.routers.insert(name.to_owned(), slot);
-        self.push(self.now, Event::Tick(name.to_owned(), 1));
+        self.routers.insert(name.to_owned(), router);
+        self.schedule(self.now, Event::Tick(name.to_owned(), 1));
     }
 
-    /// A router dies at once; its requests' connections break.
-    pub fn kill(&mut self, name: &str) {
-        let slot = self.routers.get_mut(name).unwrap();
-        slot.alive = false;
-        slot.life += 1;
+    /// Crashes a router, which breaks the connections of its requests.
+    pub fn kill_router(&mut self, name: &str) {
+        let router = self.routers.get_mut(name).unwrap();
+        router.alive = false;
+        router.incarnation += 1;
         for engine in self.engines.values_mut() {
             engine.running.retain(|_, entry| entry != name);
         }
-        let entries = &self.entries;
-        let theirs =
-            self.fates.iter_mut().filter(|(attempt, _)| entries.get(attempt).is_some_and(|entry| entry == name));
-        for (_, fate) in theirs {
-            if matches!(fate, Fate::Asking | Fate::Running(_)) {
-                *fate = Fate::Gone;
+        let entry_routers = &self.entry_routers;
+        let affected = self
+            .request_states
+            .iter_mut()
+            .filter(|(attempt, _)| entry_routers.get(attempt).is_some_and(|entry| entry == name));
+        for (_, state) in affected {
+            if matches!(state, RequestState::Waiting | RequestState::Running(_)) {
+                *state = RequestState::EntryDied;
             }
         }
     }
 
-    /// A router that died starts anew under its name.
-    pub fn restart(&mut self, name: &str) {
+    /// Restarts a crashed router under the same name, with a new incarnation and without its state.
+    pub fn restart_router(&mut self, name: &str) {
         let now = self.now;
-        let slot = self.routers.get_mut(name).unwrap();
-        slot.life += 1;
-        slot.alive = true;
-        slot.started = now;
-        slot.generation = Generation(0);
-        let settings = slot.settings.clone().with_incarnation(id::Incarnation(now));
-        slot.node = Node::new(settings);
-        let life = slot.life;
-        self.push(now, Event::Tick(name.to_owned(), life));
+        let router = self.routers.get_mut(name).unwrap();
+        router.incarnation += 1;
+        router.alive = true;
+        router.started = now;
+        router.generation = Generation(0);
+        let settings = router.settings.clone().with_incarnation(id::Incarnation(now));
+        router.node = Node::new(settings);
+        let incarnation = router.incarnation;
+        self.schedule(now, Event::Tick(name.to_owned(), incarnation));
     }
 
-    /// A router is stopped and goes on later, without noticing.
-    pub fn freeze(&mut self, name: &str, span: Duration) {
+    /// Pauses a router for a time; it resumes without having been notified.
+    pub fn pause_router(&mut self, name: &str, span: Duration) {
         let until = self.now + micros(span);
         self.routers.get_mut(name).unwrap().paused_until = until;
     }
 
-    /// Two availability zones no longer hear each other.
-    pub fn cut(&mut self, one: &str, other: &str) {
-        self.faults.cuts.insert((one.to_owned(), other.to_owned()));
-        self.faults.cuts.insert((other.to_owned(), one.to_owned()));
+    /// Cuts the network in both directions between two availability zones, or between a zone and the store, which is
+    /// named `platform`.
+    pub fn partition(&mut self, one: &str, other: &str) {
+        self.faults.partitions.insert((one.to_owned(), other.to_owned()));
+        self.faults.partitions.insert((other.to_owned(), one.to_owned()));
     }
 
-    pub fn heal(&mut self) {
-        self.faults.cuts.clear();
+    /// Removes all network partitions.
+    pub fn heal_partitions(&mut self) {
+        self.faults.partitions.clear();
     }
 
-    /// An upstream says that it leaves.
-    pub fn drain(&mut self, name: &str) {
+    /// Makes an upstream report that it drains.
+    pub fn drain_engine(&mut self, name: &str) {
         let now = self.now;
         let engine = self.engines.get_mut(name).unwrap();
         engine.draining = true;
@@ -105,27 +111,32 @@
         engine.closed_at = Some(now);
     }
 
-    /// An upstream dies with all that runs there.
-    pub fn engine_dies(&mut self, name: &str) {
+    /// Crashes an upstream and the requests that run there.
+    pub fn crash_engine(&mut self, name: &str) {
         let now = self.now;
         let engine = self.engines.get_mut(name).unwrap();
         engine.alive = false;
         engine.closed_at = Some(now);
-        let broken: Vec<_> = engine.running.drain().collect();
-        for (attempt, entry) in broken {
-            self.fates.insert(attempt, Fate::Done);
+        let interrupted: Vec<_> = engine.running.drain().collect();
+        for (attempt, entry) in interrupted {
+            self.request_states.insert(attempt, RequestState::Done);
             let input = Input::End { attempt, success: Some(false), unreachable: false };
             self.input_now(&entry, input);
         }
     }
 
-    /// Routers that a balancer sends callers to.
-    pub fn live(&self) -> Vec<String> {
-        self.routers.iter().filter(|(_, slot)| slot.alive && !slot.leaving).map(|(name, _)| name.clone()).collect()
+    /// The routers to which a load balancer sends requests: those that live and aren't stopping.
+    pub fn available_routers(&self) -> Vec<String> {
+        self.routers
+            .iter()
+            .filter(|(_, router)| router.alive && !router.leaving)
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
-    pub fn number(&mut self) -> u128 {
-        self.numbers += 1;
-        self.numbers
+    /// Returns the next unique number, for attempts.
+    pub fn next_number(&mut self) -> u128 {
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/crates/stairvale-control/tests/world/store.rs
+++ b/crates/stairvale-control/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's store: compare-and-swap, and leases that lapse.
+//! A fake of the platform's store, with compare-and-swap and with leases that expire.
 
 use std::collections::HashMap;
 
@@ -9,25 +9,29 @@
     orders::LEASE,
 };
 
-/// The store.
+/// An in-memory key-value store. Each write has a revision; times are in microseconds.
 #[derive(Debug, Default)]
 pub struct Store {
+    /// Value and revision of each key.
     entries: HashMap<String, (String, u64)>,
-    leased: HashMap<String, u64>,
+    /// Expiry time of each key under a lease.
+    leases: HashMap<String, u64>,
     revision: u64,
-    /// Compare-and-swaps that took effect, by key.
+    /// The number of compare-and-swaps that took effect, by key.
     pub writes: HashMap<String, u64>,
-    /// Every generation that was ever accepted, with its document.
+    /// Every accepted generation, with the id of its submission.
     pub accepted: Vec<(u64, String)>,
 }
 
 impl Store {
-    /// Runs a call.
+    /// Carries out a call at the time `now` and returns the answer.
     pub fn call(&mut self, now: u64, key: &str, action: Action) -> Answer {
-        self.lapse(now);
+        self.remove_expired(now);
         match action {
             Action::Read | Action::Watch { .. } => Answer::Value(self.entries.get(key).cloned()),
-            Action::Write { value, revision } if key.starts_with("orders/") => self.lease(now, key, value, revision),
+            Action::Write { value, revision } if key.starts_with("orders/") => {
+                self.write_leased(now, key, value, revision)
+            }
             Action::Write { value, revision } => self.swap(key, value, revision),
             Action::Create { value, .. } => self.swap(key, value, 0),
             Action::Delete { revision } => self.delete(now, key, revision),
@@ -48,55 +52,57 @@
         self.revision += 1;
         *self.writes.entry(key.to_owned()).or_default() += 1;
         if key == MANIFEST_KEY {
-            let manifest: Manifest = serde_json::from_str(&value).expect("only manifests are written there");
+            let manifest: Manifest =
+                serde_json::from_str(&value).expect("only manifests are written under the manifest's key");
             self.accepted.push((manifest.generation().0, manifest.change.submission));
         }
         self.entries.insert(key.to_owned(), (value, self.revision));
         Answer::Written(self.revision)
     }
 
-    /// As the router does it: the value is swapped for nothing, under a lease that lapses; nothing detaches it again.
+    /// Deletes a key as the router does: swaps its value for an empty one under a lease that expires. The key stays
+    /// under that lease even if it is written again.
     fn delete(&mut self, now: u64, key: &str, revision: u64) -> Answer {
         if self.entries.get(key).is_none_or(|(_, found)| *found != revision) {
             return Answer::Conflict;
         }
-        self.leased.insert(key.to_owned(), now + 1_000_000);
+        self.leases.insert(key.to_owned(), now + 1_000_000);
         self.revision += 1;
         self.entries.insert(key.to_owned(), (String::new(), self.revision));
         Answer::Written(self.revision)
     }
 
-    /// Whether a key has a value that stays.
+    /// Whether a key has a value that isn't under a lease.
     pub fn has(&self, key: &str) -> bool {
-        self.entries.contains_key(key) && !self.leased.contains_key(key)
+        self.entries.contains_key(key) && !self.leases.contains_key(key)
     }
 
-    /// Keys that begin so and stay.
+    /// The number of keys with this prefix that aren't under a lease.
     pub fn count(&self, prefix: &str) -> usize {
         self.entries.keys().filter(|key| key.starts_with(prefix) && self.has(key)).count()
     }
 
-    fn lease(&mut self, now: u64, key: &str, value: String, revision: u64) -> Answer {
+    fn write_leased(&mut self, now: u64, key: &str, value: String, revision: u64) -> Answer {
         let holder = self.entries.get(key).map(|(holder, _)| holder.clone());
         let until = now + u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
         match (holder, revision) {
             (None, 0) => {
-                self.leased.insert(key.to_owned(), until);
+                self.leases.insert(key.to_owned(), until);
                 self.swap(key, value, 0)
             }
             (Some(holder), 1) if holder == value => {
-                self.leased.insert(key.to_owned(), until);
+                self.leases.insert(key.to_owned(), until);
                 Answer::Written(0)
             }
             _ => Answer::Conflict,
         }
     }
 
-    fn lapse(&mut self, now: u64) {
-        let lapsed: Vec<_> =
-            self.leased.iter().filter(|(_, until)| **until <= now).map(|(key, _)| key.clone()).collect();
-        for key in lapsed {
-            self.leased.remove(&key);
+    fn remove_expired(&mut self, now: u64) {
+        let expired: Vec<_> =
+            self.leases.iter().filter(|(_, until)| **until <= now).map(|(key, _)| key.clone()).collect();
+        for key in expired {
+            self.leases.remove(&key);
             self.entries.remove(&key);
         }
     }
