--- a/crates/stairvale-serve/src/core/effect.rs
+++ b/crates/stairvale-serve/src/core/effect.rs
@@ -1,4 +1,4 @@
-//! What a router decides to do.
+//! The actions that the core returns to be carried out.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,121 +10,123 @@
 
 use crate::frame::Frame;
 
-/// Something to do.
+/// An action for the caller of the core.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a frame.
+    /// Send a frame to a peer.
     Frame {
-        /// The peer.
+        /// The receiving peer.
         to: id::Router,
-        /// Where it is.
+        /// The peer's address.
         address: SocketAddr,
-        /// The frame.
+        /// The frame to send.
         frame: Box<Frame>,
     },
-    /// Send one frame to many peers.
+    /// Send one frame to several peers.
     Frames {
-        /// The peers, and where they are.
+        /// The receiving peers, with their addresses.
         to: Vec<(id::Router, SocketAddr)>,
-        /// The frame.
+        /// The frame to send.
         frame: Box<Frame>,
     },
-    /// Send a datagram.
+    /// Send a datagram of the membership protocol.
     Datagram {
-        /// Where to.
+        /// The address to send to.
         to: SocketAddr,
-        /// What it says.
+        /// The content of the datagram.
         packet: Packet,
     },
-    /// Tell a request what its home said.
+    /// Pass a home's reply to the request that waits for it.
     Reply {
-        /// The attempt.
+        /// The attempt that the reply is for.
         attempt: id::Attempt,
-        /// What was said.
+        /// The home's reply.
         reply: Reply,
     },
-    /// Ask an engine what it holds of prompts.
+    /// Query an engine for the prompt prefixes that it holds.
     Inspect {
-        /// Its service.
+        /// The engine's service.
         service: id::Service,
-        /// The engine.
+        /// The engine to query.
         upstream: id::Upstream,
-        /// Where it is.
+        /// The engine's address.
         address: SocketAddr,
     },
-    /// A life of an upstream has begun under a name that stood for another one: tell operators.
+    /// Report to operators that an upstream was replaced by a new incarnation under the same name.
     Begun(id::Upstream),
-    /// The life of the upstream that runs this request is over: another one of the same name has begun.
+    /// End a request whose upstream was replaced by a new incarnation under the same name.
     Over(id::Attempt),
-    /// Another configuration is in force.
+    /// Put another configuration in force.
     Configured(Arc<Table>),
-    /// Nothing new goes to the upstreams of a zone from now on, or they are used again.
+    /// Report that a zone was evacuated or is used again.
     Evacuated {
-        /// The zone.
+        /// The zone concerned.
         zone: id::Zone,
-        /// Whether it is evacuated.
+        /// Whether the zone is evacuated: its upstreams receive no new requests.
         evacuated: bool,
-        /// How many upstreams are there.
+        /// The number of upstreams in the zone.
         upstreams: usize,
     },
-    /// Write this to the store, and tell [`Core::written`](super::Core::written) what became of it.
+    /// Write this change to the store, and pass the result to [`Core::written`](super::Core::written).
     Write(Write),
-    /// Write this for a peer, and tell [`Core::written_for`](super::Core::written_for) what became of it.
+    /// Write this change to the store for a peer, and pass the result to
+    /// [`Core::written_for`](super::Core::written_for).
     WriteFor {
-        /// The peer.
+        /// The peer that requested the write.
         peer: id::Router,
-        /// Its number for the question.
+        /// The number of the peer's request.
         number: u64,
-        /// The change.
+        /// The change to write.
         write: Write,
     },
-    /// A roll-out has come to another stage, by what the store says.
+    /// Report that a roll-out reached another stage according to the store.
     Stage {
-        /// The service.
+        /// The service that is rolled out.
         service: id::Service,
-        /// What its versions may be given now.
+        /// What each version of the service may be sent now.
         policy: Policy,
-        /// What the store keeps of it, if anybody has taken it up.
+        /// The roll-out's record in the store, if a controller has written one.
         record: Option<Box<Record>>,
     },
-    /// Tell operators what this router as a service's home found or did.
+    /// Report to operators what the roll-out controller at this router found or did.
     Say(Box<Event>),
-    /// A customer wants more than its share of a service's places while requests wait, or no longer.
+    /// Report that a customer started or stopped wanting more than its share of a service's capacity while requests
+    /// wait.
     Surplus {
-        /// The service.
+        /// The service concerned.
         service: id::Service,
-        /// Who, and how much.
+        /// The customer, with its share and its running requests.
         surplus: Surplus,
     },
-    /// Upstreams end because of a request: tell operators, and write it to the store.
+    /// Report to operators that a request makes upstreams crash, and write its quarantine to the store.
     Quarantined {
-        /// The service.
+        /// The service concerned.
         service: id::Service,
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: id::Fingerprint,
-        /// How long it goes nowhere.
+        /// How long the request is kept from upstreams.
         length: Duration,
     },
-    /// An upstream leaves, by what it said in an answer: tell operators.
+    /// Report to operators that an upstream announced in an answer that it is leaving.
     Leaves(id::Upstream),
-    /// An upstream wants nothing from this router for a while: tell operators.
+    /// Report to operators that an upstream asked this router to send it nothing for a while.
     Rests {
-        /// The upstream.
+        /// The upstream that asked for the rest.
         upstream: id::Upstream,
-        /// For how long.
+        /// The length of the rest.
         length: Duration,
     },
-    /// An upstream asked for a rest whose length can't be understood: tell operators.
+    /// Report to operators that an upstream asked for a rest whose length can't be parsed.
     Unreadable(id::Upstream),
-    /// A peer is gone, so its stream can be closed.
+    /// Close the stream to a peer that was removed from the membership.
     Lost(id::Router),
 }
 
-/// What a home says of an ask.
+/// A home's reply to an [`Ask`](stairvale_dispatch::Ask).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It waits.
+    /// The request waits in the home's queue.
     Waits,
-    /// It is decided; `None` if that home can't.
+    /// The home's decision; `None` if it can't decide.
     Decided(Option<Verdict>),
 }
--- a/crates/stairvale-serve/src/core/entry.rs
+++ b/crates/stairvale-serve/src/core/entry.rs
@@ -1,33 +1,35 @@
-//! Requests of this router's own callers: asked for, begun, ended.
+//! The entry's side of requests from this router's own callers, from asking for an upstream to the end of the
+//! request.
 
 use std::{net::SocketAddr, time::Duration};
 
 use stairvale_dispatch::{Ask, Held, Outcome, Part};
 use stairvale_types::{Moment, id};
 
-use super::{Core, Effect, Running};
+use super::{Core, Effect, RunningRequest};
 use crate::frame::Frame;
 
-/// A router that didn't answer as a home is passed over for this long.
-const DISTRUST: Duration = Duration::from_millis(1_000);
+/// Time for which a router is skipped after it failed to answer as a home.
+const DISTRUST_PERIOD: Duration = Duration::from_millis(1_000);
 
 impl Core {
-    /// A request came in for a service.
+    /// Counts a request of a service towards its retry budget.
     pub fn count(&mut self, now: Moment, service: &id::Service) {
         let budget = self.bounds.budget();
         self.windows.entry(service.clone()).or_default().request(now, budget);
     }
 
-    /// Takes a retry from the budget, if there is one.
+    /// Takes one retry from the service's budget; `false` if it is exhausted.
     #[must_use]
     pub fn spend(&mut self, now: Moment, service: &id::Service) -> bool {
-        // Who has just started doesn't know yet how many share what is free of it.
+        // A router that has just started doesn't know yet how many routers share the free part of the budget, so it
+        // gets none of it.
         let routers = if self.knows_fleet(now) { self.routers() } else { usize::MAX };
         let budget = self.bounds.budget();
         self.windows.entry(service.clone()).or_default().spend(now, budget, routers)
     }
 
-    /// Asks the service's home for an upstream, and tells which router that is.
+    /// Requests an upstream from the service's home. Returns the home and the effects.
     pub fn ask(&mut self, now: Moment, service: &id::Service, ask: Ask) -> (id::Router, Vec<Effect>) {
         let home = self.home(now, service);
         let effects = if home == self.me {
@@ -39,25 +41,25 @@
         (home, effects)
     }
 
-    /// Asks this router's own account, whatever other homes there are.
+    /// Requests an upstream from this router's own account, regardless of other homes.
     pub fn ask_self(&mut self, now: Moment, service: &id::Service, ask: Ask) -> Vec<Effect> {
         self.decide(now, service, ask)
     }
 
-    /// A home didn't answer, or can't decide: it is passed over for a while.
+    /// Skips a home for a while, since it didn't answer or can't decide.
     pub fn distrust(&mut self, now: Moment, home: &id::Router) {
         if home != &self.me {
-            self.distrusted.insert(home.clone(), now + DISTRUST);
+            self.distrusted.insert(home.clone(), now + DISTRUST_PERIOD);
         }
     }
 
-    /// A home decided after all: its answer was held up on its way, as by a packet that was lost and sent again, and to pass it
-    /// over for longer would only lead to routers that know less.
-    pub(super) fn trust(&mut self, home: &id::Router) {
+    /// Stops skipping a home that decided after all. Its answer was only delayed, for example by a packet that was
+    /// lost and retransmitted, and skipping it for longer would only route requests to routers with less information.
+    pub(super) fn restore_trust(&mut self, home: &id::Router) {
         self.distrusted.remove(home);
     }
 
-    /// A request no longer waits for a home's answer.
+    /// Withdraws a request that no longer waits for a home's answer.
     pub fn forget(
         &mut self,
         now: Moment,
@@ -69,29 +71,30 @@
             return self.send(home, Frame::Forget { service: service.clone(), attempt });
         }
         let answers = self.pools.get_mut(service).map(|pool| pool.forget(now, attempt));
-        self.answers(answers.unwrap_or_default())
+        self.deliver_answers(answers.unwrap_or_default())
     }
 
-    /// Where the longest chain of a prompt's shared parts was last seen to go.
+    /// The upstream that most recently received the longest known prefix of a prompt's shared blocks, and the length
+    /// of that prefix in blocks.
     #[must_use]
     pub fn seen(&self, parts: &[Part]) -> Option<(usize, id::Upstream)> {
-        self.seen.find(parts)
+        self.recent_prefixes.find(parts)
     }
 
-    /// Where an upstream is reached, whether it takes new work or not.
+    /// The upstream's address, whether or not it takes new work.
     #[must_use]
     pub fn address(&self, upstream: &id::Upstream) -> Option<SocketAddr> {
         self.view.upstream(upstream).map(|known| known.address)
     }
 
-    /// A granted request goes to its upstream.
+    /// Records that a granted request is sent to its upstream.
     pub fn start(&mut self, service: &id::Service, held: Held, home: &id::Router, parts: &[Part]) {
-        self.seen.remember(parts, &held.upstream);
-        let running = Running { service: service.clone(), held, home: home.clone() };
+        self.recent_prefixes.remember(parts, &held.upstream);
+        let running = RunningRequest { service: service.clone(), held, home: home.clone() };
         self.running.insert(running.held.attempt, running);
     }
 
-    /// The first event of a request came, this long after it was sent.
+    /// Records the first event of a request, which arrived `took` after the request was sent.
     pub fn begun(&mut self, now: Moment, attempt: id::Attempt, took: Duration) -> Vec<Effect> {
         let Some(running) = self.running.get_mut(&attempt) else {
             return Vec::new();
@@ -101,12 +104,12 @@
         if home != self.me {
             return self.send(&home, Frame::Begun { service, attempt, took });
         }
-        self.began(now, &service, attempt, took)
+        self.handle_begun(now, &service, attempt, took)
     }
 
-    /// A granted request ended, however it did.
+    /// Records the end of a granted request, whatever its outcome.
     pub fn end(&mut self, now: Moment, attempt: id::Attempt, outcome: Outcome, took: Option<Duration>) -> Vec<Effect> {
-        let Some(Running { service, home, .. }) = self.running.remove(&attempt) else {
+        let Some(RunningRequest { service, home, .. }) = self.running.remove(&attempt) else {
             return Vec::new();
         };
         if home != self.me {
--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -1,4 +1,4 @@
-//! How fresh this router's copy of the store is, and whom it asks.
+//! The age of this router's copy of the store, when it reads the store itself, and which peers it syncs with.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -7,210 +7,223 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::Member;
 
-use super::{Core, Effect, is_heard, naming};
+use super::{Core, Effect, has_responded, naming};
 use crate::frame::{Frame, Sync};
 
-/// A question about freshness is remembered this long.
-const ASKED: Duration = Duration::from_secs(5);
-/// A router whose word on the store was too old isn't relied upon as a watcher for this long.
+/// Time for which an unanswered sync request is remembered.
+const PENDING_SYNC_RETENTION: Duration = Duration::from_secs(5);
+/// Time for which a router is excluded as a watcher after its updates came too late.
 const WATCHER_BACKOFF: Duration = Duration::from_secs(3);
 
-/// A router that becomes its zone's watcher waits as long as any other for what it is told, for this long: two questions to the
-/// fleet's reader.
-const NEW_WATCHER: Duration = Duration::from_millis(500);
+/// Time after becoming its zone's watcher during which a router waits as long for updates as any other router: two
+/// sync requests to the fleet's reader.
+const NEW_WATCHER_GRACE: Duration = Duration::from_millis(500);
 
-/// A zone's watcher that has just started asks the store for what is new if nobody has told it by then: some round trips to
-/// peers and back, so that a start usually costs the store no such call.
+/// Delay after its start until a zone's watcher reads the latest changes from the store, if no peer has sent them by
+/// then. It covers a few round trips to peers, so that a start usually costs the store no such call.
 const WATCHER_READ_DELAY: Duration = Duration::from_millis(50);
-/// Any other router asks after this long and up to twice as long, by its name: not all at once, and after its watcher could.
+/// Minimum delay until any other router does so. The actual delay is up to twice as long and derived from the
+/// router's name, so that the routers don't all read at once, and only after their watcher had time to.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(300);
-/// Everything is asked for, and told to one router, this often: before 3,000 upstreams it is 200 KB and more, a quarter of a second of a
-/// small VM's link. A router that starts asks each 50 ms how fresh copies are, and its watcher may have a hundred such at once.
+/// Minimum interval between two requests for a full snapshot, and between two snapshots sent to the same router. A
+/// snapshot with 3,000 upstreams exceeds 200 KB, which is a quarter of a second of a small VM's link; a starting
+/// router sends a sync request each 50 ms, and its watcher may have a hundred such routers at once.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A router that knows the names waits this long for a peer's copy before it reads the store itself: some times what the first of
-/// a zone needs to read it, and the others to be told.
-const PEERS: Duration = Duration::from_millis(400);
-/// Until this long after its start a router asks for everything only those of its own zone that the store names: what comes from
-/// another one crosses zones, where each byte costs.
+/// Time that a router which has read the registrations waits for a peer's snapshot before it reads the store itself:
+/// several times what the first router of a zone needs to read it and to send it to the others.
+const PEER_SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time after its start during which a router requests snapshots only from registered routers of its own zone, since
+/// traffic between zones is charged per byte.
 const CROSS_ZONE_SNAPSHOT_DELAY: Duration = Duration::from_millis(200);
-/// A router asks for others that it doesn't know this often. When all start at once nobody knows all of them for a second, and
-/// whoever asked each time would be told of most of them twenty times: 8 MB for a hundred routers, growing with their square.
-const MEMBERS: Duration = Duration::from_millis(400);
-/// Who knows fewer routers by more than one in this many is told all of them; gossip brings the others.
-const LACKING_SHARE: usize = 8;
+/// Minimum interval between two requests for the list of members. When all routers start at once, nobody knows all of
+/// them for a second, and a router that requested the list with every sync would receive most members twenty times: 8
+/// MB in total for a hundred routers, growing with the square of their number.
+const MEMBER_LIST_INTERVAL: Duration = Duration::from_millis(400);
+/// A router that lacks more than one in this many members is sent the complete list; otherwise gossip delivers the
+/// missing ones.
+const MISSING_MEMBERS_DIVISOR: usize = 8;
 
-/// One question to any router in this many goes to another zone, where there are routers in its own.
-const CROSS_ZONE_EVERY: u64 = 3;
+/// One in this many syncs with an arbitrary peer goes to another zone, even if the router's own zone has peers.
+const CROSS_ZONE_SYNC_EVERY: u64 = 3;
 
-/// How this router reads the store now.
+/// How this router is to read the store now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reading {
-    /// The names of routers alone, as they were up to some seconds ago: enough to find a peer that has a copy.
+    /// Only the registrations of routers, up to some seconds old: enough to find a peer that has a copy.
     Names,
-    /// All of it, as it was up to some seconds ago: cheap, and enough to begin with.
+    /// A full copy, up to some seconds old: cheap for the store, and enough to start with.
     Stale,
-    /// What is new, waiting for it this long.
+    /// The changes since the last read; the call waits up to this long for one.
     Changes(Duration),
 }
 
 impl Core {
     // ------------------------------------------------------------------------
-    // Who reads the store.
+    // When this router reads the store itself.
 
-    /// Whether and how this router reads the store now. One in the fleet reads all the time; a zone's watcher that it keeps
-    /// waiting, and others that hear too little, ask once and needn't wait.
+    /// Whether and how this router reads the store now. The fleet's reader reads continuously. A zone's watcher that
+    /// the reader keeps waiting, and other routers that receive too few updates, read once, by a call that doesn't
+    /// wait.
     #[must_use]
     pub fn reading(&self, now: Moment) -> Option<Reading> {
         if self.view.revision() == 0 {
-            return self.first_reading(now);
+            return self.initial_reading(now);
         }
         if self.is_reader(now) {
-            // Who takes over with an old copy, or one that was never known to be the newest, makes it so before it waits for
-            // more: others would hold its age against it.
-            let old = !self.view.is_confirmed() || self.is_older(now, self.bounds.watch() * 2);
-            return Some(Reading::Changes(if old { Duration::ZERO } else { self.bounds.watch() }));
+            // A router that takes over with an old or unconfirmed copy first brings it up to date and only then waits
+            // for changes: other routers would otherwise exclude it for the copy's age.
+            let outdated = !self.view.is_confirmed() || self.is_older(now, self.bounds.watch() * 2);
+            return Some(Reading::Changes(if outdated { Duration::ZERO } else { self.bounds.watch() }));
         }
-        self.is_older(now, self.patience(now)).then_some(Reading::Changes(Duration::ZERO))
+        self.is_older(now, self.max_age(now)).then_some(Reading::Changes(Duration::ZERO))
     }
 
-    /// How a router begins: with the names. One of each zone then reads all of it, and the others take that one's copy, which
-    /// comes within the zone and is a fifth as large.
-    fn first_reading(&self, now: Moment) -> Option<Reading> {
-        let Some(read) = self.names_read else {
+    /// How a router reads the store after its start: first the registrations. Then one router of each zone reads
+    /// everything, and the others take that one's snapshot, which stays within the zone and is a fifth as large.
+    fn initial_reading(&self, now: Moment) -> Option<Reading> {
+        let Some(read_at) = self.registrations_read_at else {
             return Some(Reading::Names);
         };
-        let alone = self.view.routers().next().is_none() || self.is_watcher();
-        (alone || now.since(read) >= PEERS).then_some(Reading::Stale)
+        let reads_itself = self.view.routers().next().is_none() || self.is_watcher();
+        (reads_itself || now.since(read_at) >= PEER_SNAPSHOT_TIMEOUT).then_some(Reading::Stale)
     }
 
-    /// The names of routers were read as they were a while ago.
+    /// Handles a stale read of the registrations of routers.
     pub fn read_names(&mut self, now: Moment, items: Vec<Item>) -> Vec<Effect> {
-        self.names_read = Some(now);
+        self.registrations_read_at = Some(now);
         if !self.view.take(News::Changes { after: 0, to: 0, items }) {
             return Vec::new();
         }
-        let mut effects = self.refresh(now);
+        let mut effects = self.apply_view(now);
         effects.extend(self.sync(now));
         effects
     }
 
-    /// Whether this router reads the store for the fleet.
+    /// Whether this router is the fleet's reader of the store.
     #[must_use]
     pub fn is_reader(&self, now: Moment) -> bool {
-        self.roles.leader.as_ref() == Some(&self.me) && self.has_met(now)
+        self.roles.reader.as_ref() == Some(&self.me) && self.has_discovered_peers(now)
     }
 
-    /// Whether the other routers of its zone hear of the store from this one.
+    /// Whether the other routers of this zone receive store updates from this one.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         self.watcher().as_ref() == Some(&self.me)
     }
 
-    /// How old this router's copy may grow before it reads the store itself.
-    fn patience(&self, now: Moment) -> Duration {
+    /// The age that this router's copy may reach before it reads the store itself.
+    fn max_age(&self, now: Moment) -> Duration {
         let watcher = self.is_watcher();
         if self.view.is_confirmed() {
-            // A new watcher was told by the last one, and may have a copy as old as that one let it become: the fleet's reader, whom it
-            // asks now, has a newer one.
-            let is_new = self.watcher_since.is_some_and(|since| now.since(since) < NEW_WATCHER);
+            // A new watcher was kept up to date by its predecessor, so its copy may be as old as the predecessor let
+            // it become. The fleet's reader, which it syncs with now, has a newer one.
+            let is_new = self.watcher_since.is_some_and(|since| now.since(since) < NEW_WATCHER_GRACE);
             let watcher = watcher && !is_new;
             return if watcher { self.bounds.late() } else { self.bounds.stale() };
         }
-        let meeting = if self.view.routers().next().is_some() { Duration::ZERO } else { naming::JOIN };
-        meeting + if watcher { WATCHER_READ_DELAY } else { FIRST_READ_DELAY.mul_f64(1.0 + self.share()) }
+        let join_delay = if self.view.routers().next().is_some() { Duration::ZERO } else { naming::JOIN_TIMEOUT };
+        join_delay + if watcher { WATCHER_READ_DELAY } else { FIRST_READ_DELAY.mul_f64(1.0 + self.jitter()) }
     }
 
-    /// Whether this router's copy is older than this; one that was never known to be the newest is as old as the process.
+    /// Whether this router's copy is older than `limit`. A copy that was never confirmed counts as old as the
+    /// process.
     pub(super) fn is_older(&self, now: Moment, limit: Duration) -> bool {
-        self.view.age(now).unwrap_or_else(|| self.life(now)) > limit
+        self.view.age(now).unwrap_or_else(|| self.uptime(now)) > limit
     }
 
     // ------------------------------------------------------------------------
-    // Who is asked how fresh this copy is.
+    // Syncs with peers.
 
-    /// Asks those who read the store; who knows nothing yet asks anybody.
+    /// Requests the latest changes and the age of its copy from the router's update source, and from an arbitrary
+    /// peer if this copy is getting old. A router without any copy also requests a snapshot.
     pub(super) fn sync(&mut self, now: Moment) -> Vec<Effect> {
-        self.syncs.retain(|_, asked| now.since(*asked) < ASKED);
-        let blind = self.blind.len();
-        self.blind.retain(|_, until| *until > now);
-        self.blind_changes += u64::from(self.blind.len() != blind);
-        self.assign(now);
-        self.judge_informant(now);
+        self.pending_syncs.retain(|_, sent_at| now.since(*sent_at) < PENDING_SYNC_RETENTION);
+        let excluded = self.excluded_watchers.len();
+        self.excluded_watchers.retain(|_, until| *until > now);
+        self.excluded_watchers_revision += u64::from(self.excluded_watchers.len() != excluded);
+        self.update_roles(now);
+        self.check_update_source(now);
         let after = self.view.revision();
-        let knows_nothing = Revision::from(after).number() == 0;
+        let is_empty = Revision::from(after).number() == 0;
         let mut to = Vec::new();
-        to.extend(self.giver().filter(|_| knows_nothing));
-        to.extend(self.informant().filter(|informant| informant != &self.me));
-        let old = self.bounds.stale() * 3 / 4;
-        if self.view.age(now).is_none_or(|age| age > old) {
+        to.extend(self.snapshot_source().filter(|_| is_empty));
+        to.extend(self.update_source().filter(|source| source != &self.me));
+        let outdated_age = self.bounds.stale() * 3 / 4;
+        if self.view.age(now).is_none_or(|age| age > outdated_age) {
             to.extend(self.any_peer());
         }
-        let mut asked = BTreeSet::new();
-        to.retain(|peer| asked.insert(peer.clone()));
-        if knows_nothing && !to.is_empty() {
-            // Each of them in turn is asked for everything first: one may know as little as this router.
-            let first = self.wholes % to.len();
-            to.rotate_left(first);
+        let mut chosen = BTreeSet::new();
+        to.retain(|peer| chosen.insert(peer.clone()));
+        if is_empty && !to.is_empty() {
+            // The snapshot is requested from each of the peers in turn, since one may have as little as this router.
+            let start = self.snapshot_requests % to.len();
+            to.rotate_left(start);
         }
-        to.iter().flat_map(|peer| self.sync_with(now, peer, after)).collect()
+        to.iter().flat_map(|peer| self.send_sync(now, peer, after)).collect()
     }
 
-    /// One that was relied upon for long enough and let this copy grow old is passed over. One that only just took over
-    /// isn't blamed for what the last one left, or routers would go on choosing different ones.
-    pub(super) fn judge_informant(&mut self, now: Moment) {
-        let (informant, patience) = (self.informant(), self.patience(now));
-        if self.relied.as_ref().map(|(relied, _)| relied) != informant.as_ref() {
-            self.relied = informant.map(|informant| (informant, now));
+    /// Excludes an update source that has had enough time and still let this copy grow too old. A source that only
+    /// just took over isn't blamed for the age that its predecessor left; otherwise routers would keep choosing
+    /// different watchers.
+    pub(super) fn check_update_source(&mut self, now: Moment) {
+        let (source, max_age) = (self.update_source(), self.max_age(now));
+        if self.current_update_source.as_ref().map(|(current, _)| current) != source.as_ref() {
+            self.current_update_source = source.map(|source| (source, now));
         }
-        if let Some((informant, since)) = &self.relied
-            && self.is_older(now, patience)
-            && now.since(*since) >= patience
+        if let Some((source, since)) = &self.current_update_source
+            && self.is_older(now, max_age)
+            && now.since(*since) >= max_age
         {
-            self.blind.insert(informant.clone(), now + WATCHER_BACKOFF);
-            self.blind_changes += 1;
-            self.assign(now);
+            self.excluded_watchers.insert(source.clone(), now + WATCHER_BACKOFF);
+            self.excluded_watchers_revision += 1;
+            self.update_roles(now);
         }
     }
 
-    pub(super) fn sync_with(&mut self, now: Moment, peer: &id::Router, after: u64) -> Vec<Effect> {
-        self.number = self.number.wrapping_add(1);
-        self.syncs.insert(self.number, now);
-        // Who knows nothing reads the store itself; where that fails, a peer's copy comes instead, from one at a time.
-        let whole = Revision::from(after).number() == 0;
-        // One that isn't named may have started a moment ago, and doesn't answer whom it hasn't heard of.
-        let near = |member: &Member| member.zone == self.zone && self.view.router(&member.router).is_some();
-        let fits = |member: &Member| near(member) || self.life(now) >= CROSS_ZONE_SNAPSHOT_DELAY;
-        let heard = self.swim.peer(peer).is_some_and(|member| is_heard(member) && fits(member));
-        let mut after = (!whole || heard && self.next_whole <= now).then_some(after);
-        if whole && after.is_some() {
-            if !std::mem::take(&mut self.asks_plainly) {
-                (self.epoch_asked, after) = (Some(self.number), Some(Revision::BEFORE_ALL.into()));
+    pub(super) fn send_sync(&mut self, now: Moment, peer: &id::Router, after: u64) -> Vec<Effect> {
+        self.sync_number = self.sync_number.wrapping_add(1);
+        self.pending_syncs.insert(self.sync_number, now);
+        // A router without a copy reads the store itself. Where that fails, it takes a snapshot from one peer at a
+        // time.
+        let lacks_copy = Revision::from(after).number() == 0;
+        // A peer that isn't registered may have just started, and then doesn't answer routers that it hasn't received
+        // a message from.
+        let is_registered_nearby =
+            |member: &Member| member.zone == self.zone && self.view.router(&member.router).is_some();
+        let may_send_copy =
+            |member: &Member| is_registered_nearby(member) || self.uptime(now) >= CROSS_ZONE_SNAPSHOT_DELAY;
+        let is_suitable = self.swim.peer(peer).is_some_and(|member| has_responded(member) && may_send_copy(member));
+        let mut after = (!lacks_copy || is_suitable && self.next_snapshot <= now).then_some(after);
+        if lacks_copy && after.is_some() {
+            if !std::mem::take(&mut self.omit_epoch) {
+                (self.epoch_probe, after) = (Some(self.sync_number), Some(Revision::BEFORE_ALL.into()));
             }
-            self.next_whole = now + SNAPSHOT_INTERVAL;
-            self.wholes = self.wholes.wrapping_add(1);
+            self.next_snapshot = now + SNAPSHOT_INTERVAL;
+            self.snapshot_requests = self.snapshot_requests.wrapping_add(1);
         }
-        let wants = self.next_members <= now;
-        if wants {
-            self.next_members = now + MEMBERS;
+        let wants_members = self.next_member_list <= now;
+        if wants_members {
+            self.next_member_list = now + MEMBER_LIST_INTERVAL;
         }
-        let routers = wants.then(|| self.routers());
-        self.send(peer, Frame::Sync(Sync { number: self.number, after, routers }))
+        let routers = wants_members.then(|| self.routers());
+        self.send(peer, Frame::Sync(Sync { number: self.sync_number, after, routers }))
     }
 
-    /// A peer asks. Who doesn't know yet how fresh its own copy is answers as soon as it does: when all start at once, each is
-    /// told in the moment in which its watcher is.
-    pub(super) fn asked_to_sync(&mut self, now: Moment, from: &id::Router, sync: Sync) -> Vec<Effect> {
+    /// Answers a peer's sync request. If this router's own copy isn't confirmed yet, it answers again as soon as it
+    /// is: when all routers start at once, each is served as soon as its watcher is.
+    pub(super) fn handle_sync(&mut self, now: Moment, from: &id::Router, sync: Sync) -> Vec<Effect> {
         if !self.view.is_confirmed() {
-            // By then it will have a copy, or asks again.
-            let lags = |after: &u64| Revision::from(*after).number() > 0;
-            self.askers.insert(from.clone(), Sync { after: sync.after.filter(lags), ..sync });
+            // No snapshot goes with the later answer: by then the peer has a copy, or requests one again.
+            let has_copy = |after: &u64| Revision::from(*after).number() > 0;
+            self.deferred_syncs.insert(from.clone(), Sync { after: sync.after.filter(has_copy), ..sync });
         }
-        self.note_epochs(from, &sync);
+        self.record_epoch_support(from, &sync);
         let after = sync.after.map(|after| self.in_own_epoch(after));
         let news = after.and_then(|after| self.view.since(after));
-        let lags = after.is_some_and(|after| Revision::from(after).number() > 0);
-        let news = news.filter(|news| matches!(news, News::Changes { .. }) || !lags || self.may_tell_all(now, from));
-        let few = sync.routers.is_some_and(|known| known + known / LACKING_SHARE < self.routers());
+        let has_copy = after.is_some_and(|after| Revision::from(after).number() > 0);
+        let news =
+            news.filter(|news| matches!(news, News::Changes { .. }) || !has_copy || self.may_send_snapshot(now, from));
+        let lacks_members = sync.routers.is_some_and(|known| known + known / MISSING_MEMBERS_DIVISOR < self.routers());
         let (news, revision) = if self.knows_epochs(from) {
             (news, self.view.revision())
         } else {
@@ -223,52 +236,54 @@
             calm: self.view.stable_for(now),
             news,
             knows_fleet: self.knows_fleet(now),
-            members: if few { self.swim.told() } else { Vec::new() },
+            members: if lacks_members { self.swim.told() } else { Vec::new() },
         };
         self.send(from, frame)
     }
 
-    /// Whether a router that lags may be told everything: not while the last time is on its way to it.
-    fn may_tell_all(&mut self, now: Moment, to: &id::Router) -> bool {
-        self.told_all.retain(|_, at| now.since(*at) < SNAPSHOT_INTERVAL);
-        let may = !self.told_all.contains_key(to);
-        if may {
-            self.told_all.insert(to.clone(), now);
+    /// Whether a snapshot may be sent to a router whose copy lags: not while the previous one may still be in
+    /// transit.
+    fn may_send_snapshot(&mut self, now: Moment, to: &id::Router) -> bool {
+        self.snapshots_sent.retain(|_, at| now.since(*at) < SNAPSHOT_INTERVAL);
+        let is_due = !self.snapshots_sent.contains_key(to);
+        if is_due {
+            self.snapshots_sent.insert(to.clone(), now);
         }
-        may
+        is_due
     }
 
-    /// Answers those who asked before this router knew how fresh its copy is.
-    pub(super) fn answer_askers(&mut self, now: Moment) -> Vec<Effect> {
+    /// Answers again the sync requests that arrived before this router's copy was confirmed.
+    pub(super) fn answer_deferred_syncs(&mut self, now: Moment) -> Vec<Effect> {
         if !self.view.is_confirmed() {
             return Vec::new();
         }
-        let askers = std::mem::take(&mut self.askers);
-        askers.into_iter().flat_map(|(asker, sync)| self.asked_to_sync(now, &asker, sync)).collect()
+        let deferred = std::mem::take(&mut self.deferred_syncs);
+        deferred.into_iter().flat_map(|(peer, sync)| self.handle_sync(now, &peer, sync)).collect()
     }
 
-    /// The peer's copy was the newest `age` before it answered, which was after it was asked.
-    pub(super) fn synced(
+    /// Handles a peer's answer to a sync request. The peer's copy was the newest `age` before it answered, and it
+    /// answered after the request was sent.
+    pub(super) fn handle_synced(
         &mut self,
         now: Moment,
         number: u64,
         age: Option<Duration>,
         revision: u64,
-        calm: Option<Duration>,
+        stable_for: Option<Duration>,
         news: Option<News>,
     ) -> Vec<Effect> {
-        let Some(asked) = self.syncs.get(&number).copied() else {
+        let Some(sent_at) = self.pending_syncs.get(&number).copied() else {
             return Vec::new();
         };
         if age.is_some() {
-            // One that didn't know it may answer once more.
-            self.syncs.remove(&number);
+            // A peer that doesn't know its copy's age yet may answer again, so the request stays pending.
+            self.pending_syncs.remove(&number);
         }
         if revision == 0 {
-            // It knows nothing either, so the next one is asked.
-            self.next_whole = now;
-        } else if self.epoch_asked == Some(number) && news.is_none() && Revision::from(revision).epoch() == 0 {
-            (self.asks_plainly, self.next_whole) = (true, now);
+            // The peer has no copy either, so the next peer is tried without delay.
+            self.next_snapshot = now;
+        } else if self.epoch_probe == Some(number) && news.is_none() && Revision::from(revision).epoch() == 0 {
+            (self.omit_epoch, self.next_snapshot) = (true, now);
         }
         let confirmed = self.view.is_confirmed();
         let mut changed = false;
@@ -278,37 +293,40 @@
             }
             changed = true;
         }
-        // A peer that is behind says nothing about this copy, and nor does one that is ahead and didn't tell what is new.
+        // The age of the peer's copy applies to this one only if both show the same revision: not if the peer is
+        // behind, and not if it is ahead and didn't send the changes.
         if revision == self.view.revision() {
-            if let Some(calm) = calm {
-                self.view.tell_stable(now, calm);
+            if let Some(stable_for) = stable_for {
+                self.view.tell_stable(now, stable_for);
             }
-            changed |= self.view.settle_lapses(calm);
+            changed |= self.view.settle_lapses(stable_for);
             if let Some(age) = age {
-                self.view.confirm_by_peer(asked, age);
+                self.view.confirm_by_peer(sent_at, age);
             }
         }
         changed |= self.view.is_confirmed() != confirmed;
-        if changed { self.refresh(now) } else { Vec::new() }
+        if changed { self.apply_view(now) } else { Vec::new() }
     }
 
-    /// Whom this router takes all of the store from when it has started: one of the strong ones of its zone, which so share what
-    /// hundreds that start at once are to be told. Another one each time, since that one may know as little.
-    fn giver(&self) -> Option<id::Router> {
-        let strong = self.strong(self.present().filter(|member| member.zone == self.zone && member.router != self.me));
-        pick(mix(self.me.hash64(), self.number), strong.into_iter()).cloned()
+    /// The peer that a starting router requests a snapshot from: one of the eligible routers of its zone, which
+    /// thereby share the load when hundreds start at once. Each call selects another one, since a peer may have as
+    /// little as this router.
+    fn snapshot_source(&self) -> Option<id::Router> {
+        let candidates = self
+            .eligible(self.responding_routers().filter(|member| member.zone == self.zone && member.router != self.me));
+        pick(mix(self.me.hash64(), self.sync_number), candidates.into_iter()).cloned()
     }
 
     pub(super) fn any_peer(&mut self) -> Option<id::Router> {
-        self.number = self.number.wrapping_add(1);
-        let number = self.number;
-        // Of those that are named many have the newest copy, also when all have just started.
-        let named = |peer: &&Member| self.view.is_confirmed() || self.view.router(&peer.router).is_some();
-        let heard = self.live_peers().filter(|peer| is_heard(peer)).filter(named);
-        // Mostly one of its own zone, if there is one: what crosses zones costs.
-        let near = !number.is_multiple_of(CROSS_ZONE_EVERY);
-        let (here, beyond): (Vec<_>, Vec<_>) = heard.partition(|peer| peer.zone == self.zone);
-        let mut peers = if here.is_empty() || !near && !beyond.is_empty() { beyond } else { here };
+        self.sync_number = self.sync_number.wrapping_add(1);
+        let number = self.sync_number;
+        // Many of the registered routers have the newest copy, even when the whole fleet has just started.
+        let has_recent_copy = |peer: &&Member| self.view.is_confirmed() || self.view.router(&peer.router).is_some();
+        let responding = self.live_peers().filter(|peer| has_responded(peer)).filter(has_recent_copy);
+        // Peers of the own zone are preferred, since traffic between zones is charged.
+        let prefers_own_zone = !number.is_multiple_of(CROSS_ZONE_SYNC_EVERY);
+        let (local, remote): (Vec<_>, Vec<_>) = responding.partition(|peer| peer.zone == self.zone);
+        let mut peers = if local.is_empty() || !prefers_own_zone && !remote.is_empty() { remote } else { local };
         if peers.is_empty() {
             peers.extend(self.live_peers());
         }
@@ -321,8 +339,8 @@
     }
 
     pub(super) fn send(&self, to: &id::Router, frame: Frame) -> Vec<Effect> {
-        // A stream to one that may not run would be opened in vain, and wait for it.
-        let Some(peer) = self.swim.peer(to).filter(|peer| is_heard(peer)) else {
+        // A peer that was never heard from may not be running, and opening a stream to it would only block.
+        let Some(peer) = self.swim.peer(to).filter(|peer| has_responded(peer)) else {
             return Vec::new();
         };
         vec![Effect::Frame { to: to.clone(), address: peer.address, frame: Box::new(frame) }]
--- a/crates/stairvale-serve/src/core/heirs.rs
+++ b/crates/stairvale-serve/src/core/heirs.rs
@@ -1,9 +1,10 @@
-//! Who decides where a service's home doesn't answer, and what it is told before that.
+//! Selection of the router that decides when a service's home doesn't respond, and replication of the home's cached
+//! prefixes to it.
 //!
-//! A router passes over homes that were late a moment ago, and with them their zones: what takes the way to one router of a
-//! zone often takes the way to all of it. If two other zones are late it is this router's own that is cut off, and its strongest
-//! routers decide. Whoever may be asked is told what engines hold while the home lives, since one that knows nothing has
-//! engines read all prompts again.
+//! A router skips homes that were late recently, and with them their zones, since a fault on the path to one router
+//! of a zone often affects all of the zone. If two other zones are late, it is this router's own zone that is cut
+//! off, and the strongest routers of this zone decide. Every router that may be asked receives the engines' cached
+//! prefixes while the home is live, since one without them would have engines prefill all prompts again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,115 +15,124 @@
 use super::{Core, Effect};
 use crate::frame::Frame;
 
-/// Late zones from which on a router takes its own for cut off.
-const CUT_OFF: usize = 2;
+/// Number of late zones from which on a router concludes that its own zone is cut off.
+const MIN_LATE_ZONES_IF_CUT_OFF: usize = 2;
 
-/// Who is told, by a service's home, what the service's engines hold.
+/// The routers to which a service's home sends what the service's engines hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(super) struct Heirs {
-    /// Those that are told of all engines: the next home, and the first one in another zone.
-    whole: Vec<id::Router>,
-    /// Those that decide for their zone when it is cut off, told of the engines there.
-    zones: BTreeMap<id::Zone, id::Router>,
+pub(super) struct Successors {
+    /// Routers that receive the prefixes of all engines: the next home, and the first candidate in another zone.
+    full: Vec<id::Router>,
+    /// For each other zone, the router that decides there when the zone is cut off; it receives the prefixes of the
+    /// zone's engines.
+    by_zone: BTreeMap<id::Zone, id::Router>,
 }
 
-impl Heirs {
-    /// Those that are told of the engines of a zone.
-    fn of<'a>(&'a self, zone: Option<&'a id::Zone>) -> impl Iterator<Item = &'a id::Router> {
-        let there = zone.and_then(|zone| self.zones.get(zone)).filter(|router| !self.whole.contains(router));
-        self.whole.iter().chain(there)
+impl Successors {
+    /// The successors that receive the prefixes of a zone's engines.
+    fn for_zone<'a>(&'a self, zone: Option<&'a id::Zone>) -> impl Iterator<Item = &'a id::Router> {
+        let in_zone = zone.and_then(|zone| self.by_zone.get(zone)).filter(|router| !self.full.contains(router));
+        self.full.iter().chain(in_zone)
     }
 
-    /// All of them.
+    /// All successors, each once.
     pub(super) fn all(&self) -> impl Iterator<Item = &id::Router> {
-        self.whole.iter().chain(self.zones.values().filter(|router| !self.whole.contains(router)))
+        self.full.iter().chain(self.by_zone.values().filter(|router| !self.full.contains(router)))
     }
 }
 
 impl Core {
-    /// The router that a request of a service is placed by: its home, or who stands in for one that doesn't answer.
+    /// The router that decides for a service now: its home, or the stand-in for a home that doesn't respond.
     pub(super) fn home(&self, now: Moment, service: &id::Service) -> id::Router {
         let distrusts = |router: &id::Router| self.distrusted.get(router).is_some_and(|until| *until > now);
         if self.distrusted.is_empty() || !self.roles.any_home(distrusts) {
-            return self.standing_home(service).unwrap_or(&self.me).clone();
+            return self.assigned_home(service).unwrap_or(&self.me).clone();
         }
         let late: BTreeSet<_> = self.distrusted.keys().filter(|router| distrusts(router)).collect();
         let zones = late.iter().filter_map(|router| self.swim.peer(router)).map(|peer| &peer.zone);
         let zones: BTreeSet<_> = zones.filter(|zone| **zone != self.zone).collect();
-        let trusted = || self.present().filter(|member| !distrusts(&member.router));
-        let home = if zones.len() >= CUT_OFF {
-            self.stand_in(service, trusted().filter(|member| member.zone == self.zone))
+        let trusted = || self.responding_routers().filter(|member| !distrusts(&member.router));
+        let home = if zones.len() >= MIN_LATE_ZONES_IF_CUT_OFF {
+            self.home_among(service, trusted().filter(|member| member.zone == self.zone))
         } else {
-            let strong = self.strong(trusted());
-            let near =
-                strong.iter().filter(|(_, router)| self.zone_of(router).is_none_or(|zone| !zones.contains(zone)));
-            pick(service.hash64(), near.copied()).or_else(|| pick(service.hash64(), strong.iter().copied()))
+            let candidates = self.eligible(trusted());
+            let in_trusted_zones =
+                candidates.iter().filter(|(_, router)| self.zone_of(router).is_none_or(|zone| !zones.contains(zone)));
+            pick(service.hash64(), in_trusted_zones.copied())
+                .or_else(|| pick(service.hash64(), candidates.iter().copied()))
         };
         home.unwrap_or(&self.me).clone()
     }
 
-    /// The one of some routers that decides for a service.
-    fn stand_in<'a>(&'a self, service: &id::Service, of: impl Iterator<Item = &'a Member>) -> Option<&'a id::Router> {
-        pick(service.hash64(), self.strong(of).into_iter())
+    /// The one of the given routers that decides for a service.
+    fn home_among<'a>(&'a self, service: &id::Service, of: impl Iterator<Item = &'a Member>) -> Option<&'a id::Router> {
+        pick(service.hash64(), self.eligible(of).into_iter())
     }
 
     fn zone_of(&self, router: &id::Router) -> Option<&id::Zone> {
         if router == &self.me { Some(&self.zone) } else { self.swim.peer(router).map(|peer| &peer.zone) }
     }
 
-    /// Sends a frame about an engine to the routers that were told what it holds.
-    pub(super) fn tell_heirs(&self, service: &id::Service, upstream: &id::Upstream, frame: &Frame) -> Vec<Effect> {
+    /// Sends a frame about an engine to the successors that hold its prefixes.
+    pub(super) fn send_to_successors(
+        &self,
+        service: &id::Service,
+        upstream: &id::Upstream,
+        frame: &Frame,
+    ) -> Vec<Effect> {
         let zone = self.view.upstream(upstream).map(|known| &known.zone);
-        let heirs = self.heirs.get(service).into_iter().flat_map(|heirs| heirs.of(zone));
-        heirs.flat_map(|heir| self.send(heir, frame.clone())).collect()
+        let successors = self.successors.get(service).into_iter().flat_map(|successors| successors.for_zone(zone));
+        successors.flat_map(|successor| self.send(successor, frame.clone())).collect()
     }
 
-    /// Tells the heirs of each service what this router knows of it as the home: all of it to a new one.
-    pub(super) fn inherit(&mut self) -> Vec<Effect> {
+    /// Sends each service's successors what this router knows of its engines as the home. A new successor receives
+    /// all of it.
+    pub(super) fn update_successors(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (service, pool) in self.pools.iter().filter(|(_, pool)| pool.has_engines()) {
-            let Some(home) = self.stand_in(service, self.present()) else {
+            let Some(home) = self.home_among(service, self.responding_routers()) else {
                 continue;
             };
-            let told = self.heirs.get(service);
-            let heirs = if home == &self.me {
-                self.heirs_of(service)
+            let previous = self.successors.get(service);
+            let successors = if home == &self.me {
+                self.successors_of(service)
             } else {
-                // Only who was the home has something to tell.
-                Heirs { whole: told.map(|_| home.clone()).into_iter().collect(), zones: BTreeMap::new() }
+                // Only a router that was the home before has anything to send.
+                Successors { full: previous.map(|_| home.clone()).into_iter().collect(), by_zone: BTreeMap::new() }
             };
-            if heirs.whole.is_empty() {
-                self.heirs.remove(service);
+            if successors.full.is_empty() {
+                self.successors.remove(service);
                 continue;
             }
-            if told == Some(&heirs) {
+            if previous == Some(&successors) {
                 continue;
             }
             for (upstream, parts) in pool.prefixes() {
                 let zone = self.view.upstream(upstream).map(|known| &known.zone);
-                let known: Vec<_> = told.into_iter().flat_map(|told| told.of(zone)).collect();
-                for heir in heirs.of(zone).filter(|heir| !known.contains(heir)) {
+                let informed: Vec<_> = previous.into_iter().flat_map(|previous| previous.for_zone(zone)).collect();
+                for successor in successors.for_zone(zone).filter(|successor| !informed.contains(successor)) {
                     let (service, upstream, parts) = (service.clone(), upstream.clone(), parts.clone());
-                    effects.extend(self.send(heir, Frame::Prefixes { service, upstream, parts }));
+                    effects.extend(self.send(successor, Frame::Prefixes { service, upstream, parts }));
                 }
             }
-            self.heirs.insert(service.clone(), heirs);
+            self.successors.insert(service.clone(), successors);
         }
         effects
     }
 
-    /// The heirs of this router as a service's home.
-    pub(super) fn heirs_of(&self, service: &id::Service) -> Heirs {
-        let others = || self.present().filter(|member| member.router != self.me);
-        let mut whole: Vec<_> = self.stand_in(service, others()).cloned().into_iter().collect();
-        if whole.iter().all(|heir| self.zone_of(heir) == Some(&self.zone)) {
-            let strong = self.strong(others());
-            let far = strong.into_iter().filter(|(_, router)| self.zone_of(router) != Some(&self.zone));
-            whole.extend(pick(service.hash64(), far).cloned());
+    /// The successors of this router as a service's home.
+    pub(super) fn successors_of(&self, service: &id::Service) -> Successors {
+        let others = || self.responding_routers().filter(|member| member.router != self.me);
+        let mut full: Vec<_> = self.home_among(service, others()).cloned().into_iter().collect();
+        if full.iter().all(|successor| self.zone_of(successor) == Some(&self.zone)) {
+            let candidates = self.eligible(others());
+            let in_other_zones = candidates.into_iter().filter(|(_, router)| self.zone_of(router) != Some(&self.zone));
+            full.extend(pick(service.hash64(), in_other_zones).cloned());
         }
         let zones: BTreeSet<_> = others().map(|member| &member.zone).filter(|zone| **zone != self.zone).collect();
-        let there = |zone: &id::Zone| self.stand_in(service, others().filter(|member| &member.zone == zone)).cloned();
-        let zones = zones.into_iter().filter_map(|zone| Some((zone.clone(), there(zone)?))).collect();
-        Heirs { whole, zones }
+        let decider_in =
+            |zone: &id::Zone| self.home_among(service, others().filter(|member| &member.zone == zone)).cloned();
+        let by_zone = zones.into_iter().filter_map(|zone| Some((zone.clone(), decider_in(zone)?))).collect();
+        Successors { full, by_zone }
     }
 }
--- a/crates/stairvale-serve/src/core/knowledge.rs
+++ b/crates/stairvale-serve/src/core/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the store and the peers say, applied to what is decided by it.
+//! Applies changes of the store's copy and of the membership to the pools, the roll-outs and the roles.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,56 +17,60 @@
 
 use super::{Core, Effect};
 
-/// Routers of a fleet that nobody is named of know each other this long after they started.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Time after which the homes count as settled in a fleet without any registered router: by then the routers have
+/// discovered each other.
+const UNREGISTERED_JOIN_TIME: Duration = Duration::from_secs(3);
 
 impl Core {
-    /// Applies the view to what is decided by it.
-    pub(super) fn refresh(&mut self, now: Moment) -> Vec<Effect> {
+    /// Applies the changes of the store's copy to everything that is derived from it.
+    pub(super) fn apply_view(&mut self, now: Moment) -> Vec<Effect> {
         let mut effects = Vec::new();
-        // A copy that may be seconds old decides nothing: what it shows may have been changed already.
-        let mut whole = false;
+        // An unconfirmed copy may be seconds old, and what it shows may have been changed already, so no
+        // configuration is taken from it.
+        let mut update_all = false;
         if let Some(document) = self.view.document().filter(|_| self.view.is_confirmed())
             && document.version > self.table.version()
         {
             self.table = Arc::new(Table::new(Document::clone(document)));
             effects.push(Effect::Configured(self.table.clone()));
-            whole = true;
+            update_all = true;
         }
         let changed = self.view.take_changed();
-        whole |= changed.iter().any(|subject| matches!(subject, Subject::Evacuation(_)));
+        update_all |= changed.iter().any(|subject| matches!(subject, Subject::Evacuation(_)));
         if changed.iter().any(|subject| matches!(subject, Subject::Router(_))) {
-            effects.extend(self.presume(now));
+            effects.extend(self.presume_alive(now));
         }
-        self.assign(now);
-        self.learn_quarantines(now, &changed);
+        self.update_roles(now);
+        self.apply_quarantine_changes(now, &changed);
         effects.extend(self.view.take_begun().into_iter().map(Effect::Begun));
-        effects.extend(self.end_lives(&changed));
-        effects.extend(self.answer_askers(now));
-        // Before upstreams: one that comes with an order gets no more than the order allows.
-        effects.extend(self.learn_rollouts(now, &changed));
-        if whole {
-            effects.extend(self.regroup(now));
+        effects.extend(self.end_replaced_upstreams(&changed));
+        effects.extend(self.answer_deferred_syncs(now));
+        // Roll-outs are applied before upstreams, so that an upstream that appears together with an order gets no
+        // more than the order allows.
+        effects.extend(self.apply_rollout_changes(now, &changed));
+        if update_all {
+            effects.extend(self.update_pools(now));
         }
-        effects.extend(self.regroup_some(now, &changed));
+        effects.extend(self.update_pool_members(now, &changed));
         effects
     }
 
-    /// Whether it is clear who the homes are: half of the strong routers that the store names have answered, so that all
-    /// agree. The others may take longer to start, and aren't waited for. Where none is named, some time must have passed.
+    /// Whether the homes are settled: at least half of the registered routers with enough capacity have responded, so
+    /// that all routers agree. The others may take longer to start and aren't waited for. If no router is registered,
+    /// [`UNREGISTERED_JOIN_TIME`] has to pass.
     pub(super) fn has_joined(&self, now: Moment) -> bool {
-        self.roles.has_quorum.unwrap_or_else(|| self.life(now) >= SETTLED)
+        self.roles.has_quorum.unwrap_or_else(|| self.uptime(now) >= UNREGISTERED_JOIN_TIME)
     }
 
-    /// Brings the pools in line with the configuration and with what is evacuated. A pool that is new is handed all upstreams of its
-    /// service, and each is where evacuations changed; otherwise a configuration says nothing of upstreams, and going through 10,000 of
-    /// them would have a small VM stand still for a fifth of a second.
-    pub(super) fn regroup(&mut self, now: Moment) -> Vec<Effect> {
+    /// Brings the pools in line with the configuration and the evacuated zones. A new pool receives all upstreams of
+    /// its service, and so does every pool when the evacuated zones changed. Otherwise a configuration doesn't affect
+    /// upstreams, and scanning 10,000 of them would block a small VM for a fifth of a second.
+    pub(super) fn update_pools(&mut self, now: Moment) -> Vec<Effect> {
         let mut effects = Vec::new();
         let table = self.table.clone();
         let evacuated: BTreeSet<_> = self.view.evacuated().cloned().collect();
         let before = std::mem::replace(&mut self.evacuated, evacuated);
-        let taken_back: Vec<_> = before.difference(&self.evacuated).cloned().collect();
+        let restored: Vec<_> = before.difference(&self.evacuated).cloned().collect();
         for zone in before.symmetric_difference(&self.evacuated) {
             let upstreams = self.view.upstreams().filter(|(upstream, _)| &upstream.zone == zone).count();
             effects.push(Effect::Evacuated { zone: zone.clone(), evacuated: self.evacuated.contains(zone), upstreams });
@@ -81,8 +85,8 @@
             .collect();
         if !unlisted.is_empty() {
             for (upstream, revision) in self.view.upstreams() {
-                if let Some(known) = unlisted.get_mut(&upstream.service) {
-                    known.push(self.listing(upstream, revision));
+                if let Some(listings) = unlisted.get_mut(&upstream.service) {
+                    listings.push(self.listing(upstream, revision));
                 }
             }
         }
@@ -93,7 +97,7 @@
                 copies: service.engine.is_some_and(|engine| engine.copies),
                 multiple: self.bounds.load_multiple,
                 slack: self.bounds.load_slack,
-                // Where an upstream is cold for no time at all there is nothing to be careful of.
+                // A service with a cold time of zero needs no protection of cold upstreams.
                 cold: service.cold.filter(|cold| !cold.time.is_zero()).map(|cold| Cold {
                     pace: cold.pace,
                     bound: self.bounds.cold(cold.pace),
@@ -103,62 +107,64 @@
             let policy = self.policy(&service.name);
             let pool = self.pools.entry(service.name.clone()).or_insert_with(|| {
                 let mut pool = Pool::new(rules);
-                // What this router gave in an earlier life, or as no home, isn't known.
+                // A new pool doesn't know what this router granted before a restart, or what was granted while it
+                // wasn't the home, so it starts without a share.
                 pool.set_share(now, 0.0);
                 pool
             });
             pool.set_rules(rules);
-            pool.set_dark(self.dark.clone());
-            for zone in &taken_back {
+            pool.set_dark(self.unreachable_zones.clone());
+            for zone in &restored {
                 pool.take_back(now, zone);
             }
             let mut answers = pool.set_policy(now, policy);
-            if let Some(known) = unlisted.remove(&service.name) {
-                answers.extend(pool.set_members(now, &known));
+            if let Some(listings) = unlisted.remove(&service.name) {
+                answers.extend(pool.set_members(now, &listings));
             }
-            effects.extend(self.answers(answers));
+            effects.extend(self.deliver_answers(answers));
         }
         self.pools.retain(|name, _| table.service(name).is_some());
-        self.share_out(now);
+        self.update_cold_shares(now);
         effects
     }
 
-    /// Hands the upstreams that changed to their pools. What a change costs doesn't grow with the fleet.
-    pub(super) fn regroup_some(&mut self, now: Moment, changed: &BTreeSet<Subject>) -> Vec<Effect> {
-        let mut known: BTreeMap<id::Service, Vec<Listing>> = BTreeMap::new();
-        let mut gone = Vec::new();
+    /// Passes the upstreams that changed to their pools. The cost doesn't grow with the size of the fleet.
+    pub(super) fn update_pool_members(&mut self, now: Moment, changed: &BTreeSet<Subject>) -> Vec<Effect> {
+        let mut listings: BTreeMap<id::Service, Vec<Listing>> = BTreeMap::new();
+        let mut removed = Vec::new();
         for subject in changed {
             let Subject::Upstream(id) = subject else {
                 continue;
             };
             match self.view.written(id) {
                 Some((upstream, revision)) => {
-                    known.entry(upstream.service.clone()).or_default().push(self.listing(upstream, revision));
+                    listings.entry(upstream.service.clone()).or_default().push(self.listing(upstream, revision));
                 }
-                None => gone.push(id.clone()),
+                None => removed.push(id.clone()),
             }
         }
         let mut answers = Vec::new();
         for (service, pool) in &mut self.pools {
-            let known = known.remove(service).unwrap_or_default();
-            answers.extend(pool.update(now, &known, &gone));
+            let listings = listings.remove(service).unwrap_or_default();
+            answers.extend(pool.update(now, &listings, &removed));
         }
-        self.answers(answers)
+        self.deliver_answers(answers)
     }
 
-    /// Tells requests that run at an upstream whose name stands for a later life now: their answer can't come any more.
-    fn end_lives(&self, changed: &BTreeSet<Subject>) -> Vec<Effect> {
-        let mut over = Vec::new();
+    /// Ends requests that run at an upstream which has been replaced by a later incarnation under the same name:
+    /// their answers can't arrive any more.
+    fn end_replaced_upstreams(&self, changed: &BTreeSet<Subject>) -> Vec<Effect> {
+        let mut effects = Vec::new();
         for subject in changed {
             if let Subject::Upstream(name) = subject
-                && let Some((present, _)) = self.view.written(name)
+                && let Some((current, _)) = self.view.written(name)
             {
-                let earlier = |id: &id::Upstream| id != &present.id && id.name() == *name;
-                let running = self.running.values().filter(|running| earlier(&running.held.upstream));
-                over.extend(running.map(|running| Effect::Over(running.held.attempt)));
+                let is_replaced = |id: &id::Upstream| id != &current.id && id.name() == *name;
+                let running = self.running.values().filter(|running| is_replaced(&running.held.upstream));
+                effects.extend(running.map(|running| Effect::Over(running.held.attempt)));
             }
         }
-        over
+        effects
     }
 
     fn listing(&self, upstream: &Upstream, revision: u64) -> Listing {
@@ -168,65 +174,66 @@
             slots: upstream.slots,
             usable: upstream.state == State::Ready
                 && !self.evacuated.contains(&upstream.zone)
-                && !self.leaves(&upstream.id),
+                && !self.is_leaving(&upstream.id),
             cold: upstream.cold,
             revision,
             version: upstream.version.clone(),
         }
     }
 
-    /// Grants what waits wherever there is room now.
-    fn serve_waiting(&mut self, now: Moment) -> Vec<Effect> {
+    /// Grants waiting requests wherever there is capacity now.
+    fn grant_waiting(&mut self, now: Moment) -> Vec<Effect> {
         let answers = self.pools.values_mut().flat_map(|pool| pool.update(now, &[], &[])).collect();
-        self.answers(answers)
+        self.deliver_answers(answers)
     }
 
-    /// Tells each pool which part this router has in what may be given to cold upstreams over the whole fleet: as a service's
-    /// home that of the routers which can ask it, and otherwise none. Who doesn't know the fleet yet has none either.
-    pub(super) fn share_out(&mut self, now: Moment) {
-        let knows = self.knows_fleet(now);
+    /// Sets the share that each pool has of what the whole fleet may grant to cold upstreams. The home's share is the
+    /// fraction of routers that can reach it; all other routers, and routers that don't know the fleet yet, have
+    /// none.
+    pub(super) fn update_cold_shares(&mut self, now: Moment) {
+        let knows_fleet = self.knows_fleet(now);
         for (service, pool) in &mut self.pools {
-            let home = knows && self.roles.home(service.hash64()) == Some(&self.me);
-            pool.set_share(now, if home { self.roles.answering } else { 0.0 });
+            let is_home = knows_fleet && self.roles.home(service.hash64()) == Some(&self.me);
+            pool.set_share(now, if is_home { self.roles.responding_share } else { 0.0 });
         }
     }
 
-    pub(super) fn members(&mut self, now: Moment, effects: Vec<swim::Effect>) -> Vec<Effect> {
+    pub(super) fn handle_membership(&mut self, now: Moment, effects: Vec<swim::Effect>) -> Vec<Effect> {
         let mut out = Vec::new();
         let mut joined = false;
-        self.assign(now);
+        self.update_roles(now);
         for effect in effects {
             match effect {
                 swim::Effect::Send { to, packet } => out.push(Effect::Datagram { to, packet }),
                 swim::Effect::Died(router) => {
-                    self.epoch_peers.remove(&router);
+                    self.epoch_aware_peers.remove(&router);
                     out.push(Effect::Lost(router));
                 }
                 swim::Effect::Joined(router) => {
                     self.distrusted.remove(&router);
-                    out.extend(self.tell_condemned(&router));
-                    out.extend(self.tell_quarantines(now, &router));
+                    out.extend(self.send_rejections(&router));
+                    out.extend(self.send_quarantines(now, &router));
                     joined = true;
                 }
-                swim::Effect::Upstream(word) => out.extend(self.heard_of(now, &word)),
+                swim::Effect::Upstream(update) => out.extend(self.handle_upstream_update(now, &update)),
                 swim::Effect::Leaves(_) | swim::Effect::Versions { .. } => {}
             }
         }
         if joined {
-            out.extend(self.inherit());
-            out.extend(self.retell_leaving(now));
+            out.extend(self.update_successors());
+            out.extend(self.resend_leaving(now));
             if !self.view.is_confirmed() {
-                // Whoever has just answered may know what this router waits for.
+                // The peer that has just responded may have the updates that this router waits for.
                 out.extend(self.sync(now));
             }
         }
-        self.assign(now);
-        if self.roles.dark != self.dark {
-            self.dark = self.roles.dark.clone();
+        self.update_roles(now);
+        if self.roles.unreachable_zones != self.unreachable_zones {
+            self.unreachable_zones = self.roles.unreachable_zones.clone();
             for pool in self.pools.values_mut() {
-                pool.set_dark(self.dark.clone());
+                pool.set_dark(self.unreachable_zones.clone());
             }
-            out.extend(self.serve_waiting(now));
+            out.extend(self.grant_waiting(now));
         }
         out
     }
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! A router's decisions and beliefs, without I/O: what it knows of the store, of its peers and of the services it is the
-//! home of. The shell hands in messages and the time and carries out the [`Effect`]s.
+//! The state and the decisions of one router, without I/O: its copy of the store, its view of its peers, and the
+//! accounts of the services that it is home of. The caller passes in messages and the current time, and carries out
+//! the returned [`Effect`]s.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -35,7 +36,7 @@
 mod spread;
 mod writing;
 
-use heirs::Heirs;
+use heirs::Successors;
 use notices::Notices;
 use quarantine::Quarantine;
 use roles::Roles;
@@ -45,29 +46,32 @@
 pub use freshness::Reading;
 pub use home::Named;
 
-/// How often entries name what they hold.
-const RENEW: Duration = Duration::from_millis(500);
-/// What the fleet's reader of the store is picked by, among the zones' watchers.
-const LEADER: u64 = 0;
-/// A router asks a watcher what is new, and how fresh it is, this many times while its copy goes stale.
-const SYNCS: u32 = 6;
-/// And this often until it knows for the first time how fresh its copy is.
-const FIRST_SYNCS: Duration = Duration::from_millis(50);
-/// Named routers have answered this long after a start, if they run: many round trips, and the time of a small VM to start.
-const PRESUMED: Duration = Duration::from_millis(50);
-/// A process that didn't run for this long distrusts what it was about to do.
+/// Interval at which an entry router reports its running requests to their homes.
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Key by which the fleet's reader of the store is selected among the zones' watchers.
+const READER_KEY: u64 = 0;
+/// Number of sync requests that a router sends to its watcher within [`Bounds::stale`], the age at which its copy
+/// counts as stale. Each one requests the latest changes and the age of the watcher's copy.
+const SYNCS_PER_STALE_LIMIT: u32 = 6;
+/// Upper limit of the sync interval until the age of this router's copy has been confirmed for the first time.
+const UNCONFIRMED_SYNC_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after a start during which registered routers count as present although they haven't responded yet. A running
+/// router responds within it: it covers many round trips and the start of a small VM.
+const PRESUMED_ALIVE_PERIOD: Duration = Duration::from_millis(50);
+/// If this process didn't run for longer than this, its view of the peers is outdated, and no peer is blamed for not
+/// answering in the meantime.
 const STALL_THRESHOLD: Duration = Duration::from_millis(900);
 
-/// A request that this router runs.
+/// A request that was granted to this router as its entry and is still running.
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningRequest {
     service: id::Service,
     held: Held,
-    /// Who keeps its account.
+    /// The router that holds the request in its account.
     home: id::Router,
 }
 
-/// All decisions of one router. Each job has a file of its own beside this one.
+/// All state and decisions of one router. Each concern is implemented in a submodule of its own.
 #[derive(Debug)]
 pub struct Core {
     me: id::Router,
@@ -78,62 +82,65 @@
     table: Arc<Table>,
     pools: BTreeMap<id::Service, Pool>,
     windows: HashMap<id::Service, Window>,
-    running: HashMap<id::Attempt, Running>,
+    running: HashMap<id::Attempt, RunningRequest>,
     distrusted: HashMap<id::Router, Moment>,
-    seen: Seen,
-    /// The home of each service that was told last what runs here.
-    homes: HashMap<id::Service, id::Router>,
-    /// Who was told, by this router as a service's home, what the service's upstreams hold.
-    heirs: HashMap<id::Service, Heirs>,
-    syncs: HashMap<u64, Moment>,
-    /// Who asked while this router's own copy wasn't known to be the newest yet.
-    askers: HashMap<id::Router, Sync>,
-    number: u64,
+    recent_prefixes: Seen,
+    /// For each service, the home that last received the list of requests running here.
+    notified_homes: HashMap<id::Service, id::Router>,
+    /// For each service that this router is home of, the routers that receive copies of its upstreams' cached
+    /// prompts.
+    successors: HashMap<id::Service, Successors>,
+    pending_syncs: HashMap<u64, Moment>,
+    /// Sync requests that arrived before this router's own copy was confirmed to be the newest; they are answered
+    /// again once it is.
+    deferred_syncs: HashMap<id::Router, Sync>,
+    sync_number: u64,
     next_renew: Moment,
     next_sync: Moment,
-    next_members: Moment,
-    next_whole: Moment,
-    /// How often everything was asked for.
-    wholes: usize,
-    /// When the names of routers were read, as the first thing of all.
-    names_read: Option<Moment>,
-    /// The question by which this router asked for everything last, as one that knows epochs.
-    epoch_asked: Option<u64>,
-    /// Whether it asks the next one as builds do that don't.
-    asks_plainly: bool,
-    /// Peers that know epochs of the store.
-    epoch_peers: BTreeSet<id::Router>,
-    /// Routers that were told everything a moment ago.
-    told_all: HashMap<id::Router, Moment>,
+    next_member_list: Moment,
+    next_snapshot: Moment,
+    /// Number of full snapshots requested so far.
+    snapshot_requests: usize,
+    /// When the registrations of routers were read, which is the first read of the store after a start.
+    registrations_read_at: Option<Moment>,
+    /// The number of the last snapshot request that was sent with an epoch, to find out whether the peer supports
+    /// epochs.
+    epoch_probe: Option<u64>,
+    /// Whether the next snapshot request is sent without an epoch, as builds without support for epochs do.
+    omit_epoch: bool,
+    /// Peers whose last sync request showed that they support epochs of the store.
+    epoch_aware_peers: BTreeSet<id::Router>,
+    /// Routers that were recently sent a full snapshot, and when.
+    snapshots_sent: HashMap<id::Router, Moment>,
     last_tick: Moment,
-    dark: BTreeSet<id::Zone>,
-    /// Zones to whose upstreams nothing new goes.
+    unreachable_zones: BTreeSet<id::Zone>,
+    /// Zones that are evacuated: their upstreams receive no new requests.
     evacuated: BTreeSet<id::Zone>,
-    /// Routers that didn't keep this one up to date, and until when they aren't relied upon for that.
-    blind: HashMap<id::Router, Moment>,
-    /// Rises when those change.
-    blind_changes: u64,
-    /// Services that move to another version.
+    /// Routers that failed to keep this one up to date, and until when they are excluded from the choice of watchers.
+    excluded_watchers: HashMap<id::Router, Moment>,
+    /// Increases whenever the set of excluded watchers changes.
+    excluded_watchers_revision: u64,
+    /// Services that are being rolled out to another version.
     rollouts: Rollouts,
-    /// Requests that go nowhere.
+    /// Requests that are kept from all upstreams.
     quarantine: Quarantine,
-    /// What upstreams said of themselves.
+    /// What upstreams reported about themselves in their answers.
     notices: Notices,
-    /// Who does what, as far as that was worked out.
+    /// The cached assignment of homes, watchers and the reader.
     roles: Roles,
-    /// Whom this router hears of the store from, and since when.
-    relied: Option<(id::Router, Moment)>,
-    /// Since when this router is its zone's watcher.
+    /// The router that this one receives store updates from, and since when.
+    current_update_source: Option<(id::Router, Moment)>,
+    /// Since when this router has been its zone's watcher.
     watcher_since: Option<Moment>,
-    /// When this router first let time pass.
-    born: Option<Moment>,
-    /// Whether a peer told this router of all others.
-    told: bool,
+    /// The time of the first tick.
+    started_at: Option<Moment>,
+    /// Whether a peer that knows the whole fleet has sent its list of members.
+    learned_fleet: bool,
     leaving: bool,
 }
 
 impl Core {
-    /// A router that knows nothing yet. `seed` decides its random choices.
+    /// Creates a router with an empty copy of the store. `seed` seeds its random choices.
     #[must_use]
     pub fn new(me: Member, seeds: Vec<SocketAddr>, bounds: Bounds, seed: u64) -> Self {
         let (router, zone) = (me.router.clone(), me.zone.clone());
@@ -148,43 +155,43 @@
             windows: HashMap::new(),
             running: HashMap::new(),
             distrusted: HashMap::new(),
-            seen: Seen::default(),
-            homes: HashMap::new(),
-            heirs: HashMap::new(),
-            syncs: HashMap::new(),
-            askers: HashMap::new(),
-            number: seed,
+            recent_prefixes: Seen::default(),
+            notified_homes: HashMap::new(),
+            successors: HashMap::new(),
+            pending_syncs: HashMap::new(),
+            deferred_syncs: HashMap::new(),
+            sync_number: seed,
             next_renew: Moment::ZERO,
             next_sync: Moment::ZERO,
-            next_members: Moment::ZERO,
-            next_whole: Moment::ZERO,
-            wholes: 0,
-            names_read: None,
-            epoch_asked: None,
-            asks_plainly: false,
-            epoch_peers: BTreeSet::new(),
-            told_all: HashMap::new(),
+            next_member_list: Moment::ZERO,
+            next_snapshot: Moment::ZERO,
+            snapshot_requests: 0,
+            registrations_read_at: None,
+            epoch_probe: None,
+            omit_epoch: false,
+            epoch_aware_peers: BTreeSet::new(),
+            snapshots_sent: HashMap::new(),
             last_tick: Moment::ZERO,
-            dark: BTreeSet::new(),
+            unreachable_zones: BTreeSet::new(),
             evacuated: BTreeSet::new(),
-            blind: HashMap::new(),
-            blind_changes: 0,
+            excluded_watchers: HashMap::new(),
+            excluded_watchers_revision: 0,
             rollouts: Rollouts::default(),
             quarantine: Quarantine::default(),
             notices: Notices::default(),
             roles: Roles::default(),
-            relied: None,
+            current_update_source: None,
             watcher_since: None,
-            born: None,
-            told: false,
+            started_at: None,
+            learned_fleet: false,
             leaving: false,
         }
     }
 
     // ------------------------------------------------------------------------
-    // Queries.
+    // Read-only queries of the current state.
 
-    /// The copy of the store.
+    /// The router's copy of the store.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
@@ -196,155 +203,161 @@
         &self.table
     }
 
-    /// Routers that live, this one included.
+    /// The number of live routers, including this one.
     #[must_use]
     pub fn routers(&self) -> usize {
         self.swim.live().count()
     }
 
-    /// The availability zone of the router at an address, if there is one that is known to live.
+    /// The availability zone of the live router at an address; `None` if no live router is known there.
     #[must_use]
     pub fn zone_at(&self, address: SocketAddr) -> Option<id::Zone> {
         self.swim.live().find(|member| member.address == address).map(|member| member.zone.clone())
     }
 
-    /// Requests of a service that run, by what this router knows as its home.
+    /// The number of running requests of a service, according to this router's account as its home.
     #[must_use]
     pub fn running_at_home(&self, service: &id::Service) -> u32 {
         let members = self.pools.get(service).into_iter().flat_map(Pool::members);
         members.map(stairvale_dispatch::Member::running).sum()
     }
 
-    /// Whether the configuration is fresh enough for keys to count.
+    /// Whether the configuration is recent enough to accept API keys by it.
     #[must_use]
     pub fn trusts_keys(&self, now: Moment) -> bool {
         let age = self.view.age(now);
         self.bounds.trust().is_none_or(|limit| age.is_some_and(|age| age < limit))
     }
 
-    /// Whether the configuration is so fresh that what it doesn't have doesn't exist.
+    /// Whether the configuration is recent enough to conclude that something missing from it doesn't exist.
     #[must_use]
     pub fn is_current(&self, now: Moment) -> bool {
         let limit = Duration::from_millis(self.bounds.configuration_ms);
         self.view.age(now).is_some_and(|age| age < limit)
     }
 
-    /// Whether there is something to serve with.
+    /// Whether this router can serve requests: it has a configuration and upstreams, its copy is recent enough, and
+    /// it isn't leaving.
     #[must_use]
     pub fn is_ready(&self, now: Moment) -> bool {
-        let known = self.view.document().is_some() && self.view.upstreams().next().is_some();
-        // The balancer needs a while to notice: callers are to be elsewhere before their keys no longer count here.
-        let trust = self.bounds.trust().map(|trust| trust / 2);
-        let fresh = trust.is_none_or(|limit| self.view.age(now).is_some_and(|age| age < limit));
-        known && !self.leaving && fresh
+        let has_data = self.view.document().is_some() && self.view.upstreams().next().is_some();
+        // The balancer takes a while to react, so readiness ends at half the trust limit: callers are then elsewhere
+        // before their keys are no longer accepted here.
+        let limit = self.bounds.trust().map(|limit| limit / 2);
+        let is_fresh = limit.is_none_or(|limit| self.view.age(now).is_some_and(|age| age < limit));
+        has_data && !self.leaving && is_fresh
     }
 
-    /// Where an upstream is, if it may still be sent new work.
+    /// The upstream's entry, if it may still be sent new work.
     #[must_use]
     pub fn place(&self, upstream: &id::Upstream) -> Option<Upstream> {
-        // The store may not say yet that it leaves, or not be there to say so.
-        if !self.view.is_usable(upstream) || self.leaves(upstream) {
+        // The upstream may have announced that it is leaving while its entry in the store doesn't show that yet, or
+        // the store is unavailable.
+        if !self.view.is_usable(upstream) || self.is_leaving(upstream) {
             return None;
         }
-        let known = self.view.upstream(upstream)?;
-        self.admits(&known.service, known.version.as_ref()).then(|| known.clone())
+        let entry = self.view.upstream(upstream)?;
+        self.admits(&entry.service, entry.version.as_ref()).then(|| entry.clone())
     }
 
-    /// The service's home, as far as this router knows.
+    /// The service's home according to this router's cached roles.
     #[must_use]
     pub fn home_of(&self, service: &id::Service) -> Option<id::Router> {
-        self.standing_home(service).cloned()
+        self.assigned_home(service).cloned()
     }
 
-    /// The service's home, whether it answers or not.
-    fn standing_home(&self, service: &id::Service) -> Option<&id::Router> {
+    /// The service's home by assignment, whether or not it currently responds.
+    fn assigned_home(&self, service: &id::Service) -> Option<&id::Router> {
         self.roles.home(service.hash64())
     }
 
-    /// Routers that live and were heard of, rather than only named.
-    fn present(&self) -> impl Iterator<Item = &Member> {
-        self.swim.live().filter(|member| is_heard(member))
+    /// Live routers that have responded themselves, in contrast to those that are only registered in the store.
+    fn responding_routers(&self) -> impl Iterator<Item = &Member> {
+        self.swim.live().filter(|member| has_responded(member))
     }
 
-    /// The router of this zone that keeps it up to date: it sends what changes to all others, so it is a strong one.
+    /// The watcher of this router's zone. It forwards changes of the store to all other routers of the zone, so it is
+    /// selected among the ones with enough processor capacity.
     fn watcher(&self) -> Option<id::Router> {
         self.roles.watchers.get(&self.zone).cloned()
     }
 
-    /// Whom this router hears of the store from.
-    fn informant(&self) -> Option<id::Router> {
+    /// The router that this one receives store updates from: its zone's watcher or, if this is the watcher itself,
+    /// the fleet's reader.
+    fn update_source(&self) -> Option<id::Router> {
         let watcher = self.watcher();
-        if watcher.as_ref() == Some(&self.me) { self.roles.leader.clone() } else { watcher }
+        if watcher.as_ref() == Some(&self.me) { self.roles.reader.clone() } else { watcher }
     }
 
     // ------------------------------------------------------------------------
-    // The store.
+    // Reads of the store.
 
-    /// The store was read: `news` came to a call that was made at `asked`.
+    /// Handles a read of the store: `news` is the result of a call that was made at `asked`.
     pub fn read(&mut self, now: Moment, asked: Moment, news: News) -> Vec<Effect> {
-        self.assign(now);
-        self.judge_informant(now);
+        self.update_roles(now);
+        self.check_update_source(now);
         let before = self.view.revision();
         if !self.view.read(now, asked, news) {
             return Vec::new();
         }
-        let mut effects = self.refresh(now);
-        effects.extend(self.tell(now, before));
+        let mut effects = self.apply_view(now);
+        effects.extend(self.broadcast(now, before));
         effects
     }
 
-    /// The store was read as it was a while ago: enough to begin with, and to be made the newest by others or by a later call.
+    /// Handles a stale read of the store, whose result may be seconds old. It is enough to start with; peers or a
+    /// later call bring the copy up to date.
     pub fn read_stale(&mut self, now: Moment, news: News) -> Vec<Effect> {
         if !self.view.take(news) {
             return Vec::new();
         }
-        let mut effects = self.refresh(now);
+        let mut effects = self.apply_view(now);
         effects.extend(self.sync(now));
         effects
     }
 
-    /// The store failed this router.
+    /// Records that a call of this router to the store failed.
     pub fn disturbed(&mut self, now: Moment) {
         self.view.disturb(now);
     }
 
     // ------------------------------------------------------------------------
-    // Messages.
+    // Messages from peers.
 
-    /// A peer's stream broke.
+    /// Handles the loss of a peer's stream: the peer is probed next.
     pub fn broken(&mut self, now: Moment, peer: &id::Router) {
         self.swim.doubt(now, peer);
     }
 
-    /// A datagram came in.
+    /// Handles a datagram of the membership protocol.
     pub fn datagram(&mut self, now: Moment, from: SocketAddr, packet: Packet) -> Vec<Effect> {
         let effects = self.swim.receive(now, from, packet);
-        self.members(now, effects)
+        self.handle_membership(now, effects)
     }
 
-    /// A peer sent a frame.
+    /// Handles a frame that a peer sent.
     pub fn frame(&mut self, now: Moment, from: &id::Router, frame: Frame) -> Vec<Effect> {
         match frame {
-            Frame::Ask { service, ask } => self.asked(now, from, &service, ask),
+            Frame::Ask { service, ask } => self.handle_ask(now, from, &service, ask),
             Frame::Decided { attempt, verdict } => {
                 if verdict.is_some() {
-                    self.trust(from);
+                    self.restore_trust(from);
                 }
                 vec![Effect::Reply { attempt, reply: Reply::Decided(verdict) }]
             }
             Frame::Waits { attempt } => {
-                self.trust(from);
+                self.restore_trust(from);
                 vec![Effect::Reply { attempt, reply: Reply::Waits }]
             }
             Frame::Forget { service, attempt } => {
                 let answers = self.pools.get_mut(&service).map(|pool| pool.forget(now, attempt));
-                self.answers(answers.unwrap_or_default())
+                self.deliver_answers(answers.unwrap_or_default())
             }
-            Frame::Begun { service, attempt, took } => self.began(now, &service, attempt, took),
+            Frame::Begun { service, attempt, took } => self.handle_begun(now, &service, attempt, took),
             Frame::Release { service, attempt, outcome, took } => self.release(now, &service, attempt, outcome, took),
             Frame::Renew { service, held } => {
                 let answers = self.pools.get_mut(&service).map(|pool| pool.renew(now, from, &held));
-                self.answers(answers.unwrap_or_default())
+                self.deliver_answers(answers.unwrap_or_default())
             }
             Frame::Prefixes { service, upstream, parts } => {
                 if let Some(pool) = self.pools.get_mut(&service) {
@@ -358,28 +371,28 @@
                 }
                 Vec::new()
             }
-            Frame::Sync(sync) => self.asked_to_sync(now, from, sync),
+            Frame::Sync(sync) => self.handle_sync(now, from, sync),
             Frame::Synced { number, age, revision, calm, news, knows_fleet, members } => {
-                self.told |= knows_fleet;
+                self.learned_fleet |= knows_fleet;
                 let effects = self.swim.learn_members(now, members);
-                let mut effects = self.members(now, effects);
-                effects.extend(self.synced(now, number, age, revision, calm, news));
+                let mut effects = self.handle_membership(now, effects);
+                effects.extend(self.handle_synced(now, number, age, revision, calm, news));
                 effects
             }
-            Frame::News(news) => self.learn_news(now, from, news),
+            Frame::News(news) => self.handle_news(now, from, news),
             Frame::Relay { news, to } => {
-                let mut effects = self.pass_on(&news, &to);
-                effects.extend(self.learn_news(now, from, news));
+                let mut effects = self.forward_news(&news, &to);
+                effects.extend(self.handle_news(now, from, news));
                 effects
             }
             Frame::Write { number, write } => {
                 let write = self.write_in_own_epoch(write);
                 vec![Effect::WriteFor { peer: from.clone(), number, write }]
             }
-            Frame::Written { number, written } => self.forwarded(now, number, written),
+            Frame::Written { number, written } => self.handle_forwarded_write(now, number, written),
             Frame::Condemned { service, order } => {
                 let order = self.in_own_epoch(order);
-                self.condemned(now, &service, order)
+                self.handle_rejection(now, &service, order)
             }
             Frame::Evidence { service, evidence } => {
                 if let Some(pool) = self.pools.get_mut(&service) {
@@ -388,76 +401,77 @@
                 Vec::new()
             }
             Frame::Quarantined { fingerprint, left, length } => {
-                self.keep_away(now, fingerprint, left, length);
+                self.add_quarantine(now, fingerprint, left, length);
                 Vec::new()
             }
         }
     }
 
-    /// Time passed. `introduced` are addresses of routers that the store names.
+    /// Advances the clock: runs all periodic work that is due.
     pub fn tick(&mut self, now: Moment) -> Vec<Effect> {
         if now.since(self.last_tick) > STALL_THRESHOLD {
             self.swim.resumed(now);
         }
         self.last_tick = now;
-        self.assign(now);
+        self.update_roles(now);
         let mut effects = Vec::new();
-        if self.born.is_none() {
-            self.born = Some(now);
-            let knocks = self.swim.knock_at_seeds();
-            effects.extend(self.members(now, knocks));
+        if self.started_at.is_none() {
+            self.started_at = Some(now);
+            let probes = self.swim.knock_at_seeds();
+            effects.extend(self.handle_membership(now, probes));
         }
         let ticked = self.swim.tick(now);
-        effects.extend(self.members(now, ticked));
+        effects.extend(self.handle_membership(now, ticked));
         if self.view.tick(now) {
-            effects.extend(self.refresh(now));
+            effects.extend(self.apply_view(now));
         }
-        self.share_out(now);
+        self.update_cold_shares(now);
         for service in self.pools.keys().cloned().collect::<Vec<_>>() {
             effects.extend(self.tick_pool(now, &service));
-            // Before the first requests come, as soon as it is clear who the homes are.
+            // Engines are inspected as soon as the homes are settled, before the first requests arrive.
             effects.extend(self.inspect(now, &service));
         }
         effects.extend(self.tick_rollouts(now));
-        effects.extend(self.greet_homes(now));
+        effects.extend(self.renew_at_new_homes(now));
         if now >= self.next_renew {
-            self.next_renew = now + RENEW;
+            self.next_renew = now + RENEW_INTERVAL;
             effects.extend(self.renew(now));
-            effects.extend(self.inherit());
+            effects.extend(self.update_successors());
             self.end_rests(now);
         }
         if now >= self.next_sync {
-            let often = self.bounds.stale() / SYNCS;
-            self.next_sync = now + if self.view.is_confirmed() { often } else { often.min(FIRST_SYNCS) };
+            let interval = self.bounds.stale() / SYNCS_PER_STALE_LIMIT;
+            self.next_sync =
+                now + if self.view.is_confirmed() { interval } else { interval.min(UNCONFIRMED_SYNC_INTERVAL) };
             effects.extend(self.sync(now));
         }
         effects
     }
 
-    /// Whether something waits, so that time is to be told more often.
+    /// Whether any request is waiting, so that ticks have to come more often.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.pools.values().any(|pool| pool.waiting() > 0)
     }
 
-    /// Addresses at which there may be routers.
+    /// Adds addresses at which routers may be found.
     pub fn introduce(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             self.swim.introduce(*address);
         }
     }
 
-    /// This router stops as planned.
+    /// Starts a planned shutdown of this router.
     pub fn leave(&mut self, now: Moment) -> Vec<Effect> {
         self.leaving = true;
         let effects = self.swim.leave();
-        let mut effects = self.members(now, effects);
-        effects.extend(self.inherit());
+        let mut effects = self.handle_membership(now, effects);
+        effects.extend(self.update_successors());
         effects
     }
 }
 
-/// Whether a router has said something itself; one that is only named hasn't.
-fn is_heard(member: &Member) -> bool {
+/// Whether a router has sent any message itself; one that is only registered in the store hasn't.
+fn has_responded(member: &Member) -> bool {
     member.incarnation.0 > 0
 }
--- a/crates/stairvale-serve/src/core/naming.rs
+++ b/crates/stairvale-serve/src/core/naming.rs
@@ -1,5 +1,6 @@
-//! Which routers the store names, so that others find them: a few of each zone, the strongest, written by the fleet's reader
-//! alone. So what the store is asked doesn't grow with the fleet, or with how often its routers start.
+//! The registrations of routers in the store, by which routers discover each other: the strongest few of each zone.
+//! Only the fleet's reader writes them, so the load on the store doesn't grow with the fleet or with the rate of
+//! restarts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,38 +15,41 @@
 use super::Core;
 use crate::source::Naming;
 
-/// Live routers of each zone that are named: two may be lost at once with one left to find.
-const NAMED: usize = 3;
-/// Names of a zone beyond which those of routers that are gone are taken away. Below it they stay: on the other side of a cut
-/// they may live.
-const MOST: usize = 6;
-/// What is to change of the names must have been so for this long before it is written: routers come and go together.
-const SETTLED: Duration = Duration::from_secs(2);
-/// Changes that are written at once. A transaction of the users' store holds 32.
-const AT_ONCE: usize = 32;
-/// A router that has just started, of a fleet that nobody is named of, waits this long for others before it reads for all of them.
-pub(super) const JOIN: Duration = Duration::from_millis(1_000);
+/// Number of live routers that are registered in each zone: if two are lost at once, one is left to be found.
+const MIN_REGISTERED_PER_ZONE: usize = 3;
+/// Number of a zone's registrations above which those of dead routers are removed. Up to this number they stay, since
+/// these routers may be live on the other side of a network partition.
+const MAX_REGISTERED_PER_ZONE: usize = 6;
+/// Time for which a change of the registrations has to be due before it is written, since routers often join and
+/// leave together.
+const SETTLING_TIME: Duration = Duration::from_secs(2);
+/// Maximum number of changes in one write. The store's transactions hold 32.
+const MAX_CHANGES_PER_WRITE: usize = 32;
+/// Time that a router which has just started waits for others, if no router is registered, before it reads the store
+/// for all of them.
+pub(super) const JOIN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Core {
-    /// Since when this router runs.
-    pub(super) fn life(&self, now: Moment) -> Duration {
-        self.born.map_or(Duration::ZERO, |born| now.since(born))
+    /// Time since the first tick of this router.
+    pub(super) fn uptime(&self, now: Moment) -> Duration {
+        self.started_at.map_or(Duration::ZERO, |born| now.since(born))
     }
 
-    /// Whether this router knows how many there are: it was told by one that did, or has waited for others to answer.
+    /// Whether this router knows the number of routers: a peer that knew it has sent it, or the time to wait for
+    /// answers has passed.
     pub(super) fn knows_fleet(&self, now: Moment) -> bool {
-        self.told || self.swim.is_alone() || self.life(now) >= JOIN
+        self.learned_fleet || self.swim.is_alone() || self.uptime(now) >= JOIN_TIMEOUT
     }
 
-    /// Whether this router knows enough of the others to do work for them: it was told who is named, or has waited for others
-    /// to answer.
-    pub(super) fn has_met(&self, now: Moment) -> bool {
-        self.view.routers().next().is_some() || self.swim.is_alone() || self.life(now) >= JOIN
+    /// Whether this router knows enough peers to do work for them: it has read the registrations, or the time to wait
+    /// for answers has passed.
+    pub(super) fn has_discovered_peers(&self, now: Moment) -> bool {
+        self.view.routers().next().is_some() || self.swim.is_alone() || self.uptime(now) >= JOIN_TIMEOUT
     }
 
-    /// Takes routers that the store names for alive until they don't answer.
-    pub(super) fn presume(&mut self, now: Moment) -> Vec<super::Effect> {
-        let named = self.view.routers().map(|router| Member {
+    /// Treats registered routers as alive until they fail to answer.
+    pub(super) fn presume_alive(&mut self, now: Moment) -> Vec<super::Effect> {
+        let registered = self.view.routers().map(|router| Member {
             router: router.id.clone(),
             zone: router.zone.clone(),
             address: router.address,
@@ -53,11 +57,11 @@
             status: Status::Alive,
             strength: router.strength,
         });
-        let effects = self.swim.presume(now, named.collect());
-        self.members(now, effects)
+        let effects = self.swim.presume(now, registered.collect());
+        self.handle_membership(now, effects)
     }
 
-    /// What this router, as the fleet's reader, is to change of the names.
+    /// The changes of the registrations that this router has to write as the fleet's reader.
     #[must_use]
     pub fn naming(&self, now: Moment) -> Naming {
         let mut naming = Naming::default();
@@ -68,73 +72,88 @@
         for member in self.swim.live().filter(|member| member.status == Status::Alive) {
             live.entry(&member.zone).or_default().push(member);
         }
-        let mut named: BTreeMap<&id::Zone, Vec<&Router>> = BTreeMap::new();
+        let mut registered: BTreeMap<&id::Zone, Vec<&Router>> = BTreeMap::new();
         for router in self.view.routers() {
-            named.entry(&router.zone).or_default().push(router);
+            registered.entry(&router.zone).or_default().push(router);
         }
-        let zones: BTreeSet<_> = live.keys().chain(named.keys()).copied().collect();
+        let zones: BTreeSet<_> = live.keys().chain(registered.keys()).copied().collect();
         for zone in zones {
             let live = live.get(zone).map(Vec::as_slice).unwrap_or_default();
-            self.name_zone(live, named.get(zone).map(Vec::as_slice).unwrap_or_default(), &mut naming);
+            self.update_zone_registrations(
+                live,
+                registered.get(zone).map(Vec::as_slice).unwrap_or_default(),
+                &mut naming,
+            );
         }
-        naming.put.truncate(AT_ONCE);
-        naming.remove.truncate(AT_ONCE - naming.put.len());
+        naming.put.truncate(MAX_CHANGES_PER_WRITE);
+        naming.remove.truncate(MAX_CHANGES_PER_WRITE - naming.put.len());
         naming
     }
 
-    /// How long a change of the names must have been due. Where none of those that are named lives, nobody knows of anybody and
-    /// each router takes itself for the reader: they write one after the other, so that the later ones find the first.
+    /// Time for which a change of the registrations has to be due before it is written. If none of the registered
+    /// routers is alive, nobody can discover anybody, and each router takes itself for the reader. They then write at
+    /// different times, so that the later ones find the first.
     #[must_use]
     pub fn naming_settles(&self) -> Duration {
-        let mut named = self.view.routers().peekable();
-        let lost = named.peek().is_some() && !named.any(|router| self.lives(&router.id));
-        SETTLED.mul_f64(if lost { 1.0 + 2.0 * self.share() } else { 1.0 })
+        let mut registered = self.view.routers().peekable();
+        let none_alive = registered.peek().is_some() && !registered.any(|router| self.is_alive(&router.id));
+        SETTLING_TIME.mul_f64(if none_alive { 1.0 + 2.0 * self.jitter() } else { 1.0 })
     }
 
-    /// A share of one that differs from router to router, so that not all do the same in the same moment.
-    pub(super) fn share(&self) -> f64 {
+    /// A fraction between 0 and 1 that is derived from the router's name, so that routers don't all act at the same
+    /// moment.
+    pub(super) fn jitter(&self) -> f64 {
         f64::from(u16::try_from(self.me.hash64() >> 48).unwrap_or(0)) / f64::from(u16::MAX)
     }
 
-    /// All names that stand, to be written anew under a lease of this router's own.
+    /// All registrations that still hold, to be written again under a lease of this router.
     #[must_use]
     pub fn names(&self) -> Naming {
-        let put = self.view.routers().filter(|router| self.lives(&router.id)).take(AT_ONCE).cloned().collect();
+        let put = self
+            .view
+            .routers()
+            .filter(|router| self.is_alive(&router.id))
+            .take(MAX_CHANGES_PER_WRITE)
+            .cloned()
+            .collect();
         Naming { put, remove: Vec::new() }
     }
 
-    fn name_zone(&self, live: &[&Member], named: &[&Router], naming: &mut Naming) {
-        let (standing, gone): (Vec<_>, Vec<_>) = named.iter().copied().partition(|router| self.lives(&router.id));
-        for router in &standing {
+    fn update_zone_registrations(&self, live: &[&Member], registered: &[&Router], naming: &mut Naming) {
+        let (alive, dead): (Vec<_>, Vec<_>) = registered.iter().copied().partition(|router| self.is_alive(&router.id));
+        for router in &alive {
             let member = live.iter().find(|member| member.router == router.id);
-            if let Some(changed) = member.map(|member| entry(member)).filter(|entry| entry != *router) {
-                naming.put.push(changed);
+            if let Some(updated) =
+                member.map(|member| registration(member)).filter(|registration| registration != *router)
+            {
+                naming.put.push(updated);
             }
         }
-        let mut others: Vec<_> = live.iter().filter(|member| self.view.router(&member.router).is_none()).collect();
-        for _ in standing.len()..NAMED {
-            let strongest = others.iter().map(|member| member.strength).max();
-            let strong = others.iter().filter(|member| Some(member.strength) == strongest);
-            let Some(next) = pick(0, strong.map(|member| (member.router.hash64(), &member.router))).cloned() else {
+        let mut unregistered: Vec<_> =
+            live.iter().filter(|member| self.view.router(&member.router).is_none()).collect();
+        for _ in alive.len()..MIN_REGISTERED_PER_ZONE {
+            let strongest = unregistered.iter().map(|member| member.strength).max();
+            let candidates = unregistered.iter().filter(|member| Some(member.strength) == strongest);
+            let Some(next) = pick(0, candidates.map(|member| (member.router.hash64(), &member.router))).cloned() else {
                 break;
             };
-            others.retain(|member| {
+            unregistered.retain(|member| {
                 let chosen = member.router == next;
-                naming.put.extend(chosen.then(|| entry(member)));
+                naming.put.extend(chosen.then(|| registration(member)));
                 !chosen
             });
         }
-        let surplus = named.len().saturating_sub(MOST);
-        let spare = standing.into_iter().skip(NAMED);
-        naming.remove.extend(gone.into_iter().chain(spare).take(surplus).map(|router| router.id.clone()));
+        let surplus = registered.len().saturating_sub(MAX_REGISTERED_PER_ZONE);
+        let excess = alive.into_iter().skip(MIN_REGISTERED_PER_ZONE);
+        naming.remove.extend(dead.into_iter().chain(excess).take(surplus).map(|router| router.id.clone()));
     }
 
-    fn lives(&self, router: &id::Router) -> bool {
+    fn is_alive(&self, router: &id::Router) -> bool {
         router == &self.me || self.swim.peer(router).is_some_and(|peer| peer.status == Status::Alive)
     }
 }
 
-fn entry(member: &Member) -> Router {
+fn registration(member: &Member) -> Router {
     let Member { router, zone, address, strength, .. } = member.clone();
     Router { id: router, zone, address, strength }
 }
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -1,12 +1,14 @@
-//! What upstreams say of themselves in their answers.
+//! What upstreams report about themselves in their answers.
 //!
-//! An upstream that leaves says so in each answer, and in its entry in the store, which may come late or never while the store is
-//! away. So the first answer binds the router that hears it, whoever decides where its requests go: a place that is
-//! granted is looked at again before anything is sent. The other routers are told in datagrams, by way of their membership.
+//! An upstream that is leaving says so in each answer, and in its entry in the store, which may come late, or never
+//! while the store is unavailable. The first such answer therefore binds the router that receives it, whichever home
+//! decides: a granted upstream is checked again before anything is sent. The other routers are notified by datagrams
+//! of the membership protocol.
 //!
-//! An upstream that turns a request away may ask the router that sent it for rest. That concerns this router alone: each ask names
-//! what rests for its router among the upstreams to avoid, so that whoever decides keeps to it and a change of homes loses
-//! nothing. A router hears of a rest only in an answer to a request of its own, which bounds how many there are.
+//! An upstream that refuses a request may ask the router that sent it for a rest. This concerns that router alone:
+//! each of its asks lists the resting upstreams among those to avoid, so any home respects them and a change of homes
+//! loses nothing. A router learns of a rest only from an answer to a request of its own, which bounds the number of
+//! rests.
 
 use std::time::Duration;
 
@@ -18,24 +20,25 @@
 use super::{Core, Effect};
 use crate::dialect::Notice;
 
-/// Lives that left and are remembered beside those that the store names: an entry that vanished may come back.
-const GONE: usize = 4_096;
+/// Number of remembered leaving upstreams above which those without an entry in the store are dropped. They are kept
+/// up to this number, since an entry that vanished may come back.
+const MAX_LEAVING: usize = 4_096;
 
-/// What upstreams said of themselves.
+/// What upstreams reported about themselves.
 #[derive(Debug, Default)]
 pub(super) struct Notices {
-    /// Lives that said that they leave. There is no way back from that but another life.
+    /// Incarnations of upstreams that announced that they are leaving. Only a new incarnation takes requests again.
     leaving: RapidHashSet<id::Upstream>,
-    /// Until when lives want nothing from this router, by their service.
+    /// For each service, the upstreams that asked this router for a rest, and until when.
     rests: RapidHashMap<id::Service, RapidHashMap<id::Upstream, Moment>>,
 }
 
 impl Notices {
     fn rest(&mut self, service: &id::Service, upstream: &id::Upstream, until: Moment) {
         let rests = self.rests.entry(service.clone()).or_default();
-        let known = rests.entry(upstream.clone()).or_insert(Moment::ZERO);
-        // Each answer asks for itself: a shorter rest doesn't end a longer one.
-        *known = (*known).max(until);
+        let latest = rests.entry(upstream.clone()).or_insert(Moment::ZERO);
+        // Each answer asks for a rest of its own, so a shorter rest doesn't end a longer one.
+        *latest = (*latest).max(until);
     }
 
     fn resting(&self, now: Moment, service: &id::Service) -> impl Iterator<Item = &id::Upstream> {
@@ -52,9 +55,9 @@
 }
 
 impl Core {
-    /// An upstream of a service answered this router.
+    /// Handles the notice in an upstream's answer to this router.
     pub fn hear(&mut self, now: Moment, service: &id::Service, upstream: &id::Upstream, notice: Notice) -> Vec<Effect> {
-        let mut effects = if notice.leaves { self.learn_leaving(now, upstream) } else { Vec::new() };
+        let mut effects = if notice.leaves { self.record_leaving(now, upstream) } else { Vec::new() };
         match notice.rest {
             Rest::Unasked => {}
             Rest::Unreadable => effects.push(Effect::Unreadable(upstream.clone())),
@@ -66,33 +69,33 @@
         effects
     }
 
-    /// Whether a life of an upstream has said that it leaves.
+    /// Whether this incarnation of an upstream has announced that it is leaving.
     #[must_use]
-    pub fn leaves(&self, upstream: &id::Upstream) -> bool {
+    pub fn is_leaving(&self, upstream: &id::Upstream) -> bool {
         self.notices.leaving.contains(upstream)
     }
 
-    /// How many words of upstreams are remembered.
+    /// The number of remembered notices of upstreams.
     #[must_use]
     pub fn remembered_notices(&self) -> usize {
         self.notices.leaving.len() + self.notices.rests.values().map(RapidHashMap::len).sum::<usize>()
     }
 
-    /// How much longer an upstream of a service wants nothing from this router, if it does.
+    /// The remaining rest that an upstream of a service asked this router for; `None` if there is none.
     #[must_use]
     pub fn rest(&self, now: Moment, service: &id::Service, upstream: &id::Upstream) -> Option<Duration> {
         let until = self.notices.rests.get(service)?.get(upstream).filter(|until| **until > now)?;
         Some(until.since(now))
     }
 
-    /// The upstreams of a service that want nothing from this router.
+    /// The upstreams of a service that currently rest from this router.
     #[must_use]
     pub fn resting(&self, now: Moment, service: &id::Service) -> Vec<id::Upstream> {
         self.notices.resting(now, service).cloned().collect()
     }
 
-    /// When the first upstream of a service takes work from this router again, if all that it could use in some zones rest:
-    /// what only they could serve is best refused at once, with that time.
+    /// The time until the first upstream of a service takes work from this router again, if all usable ones in the
+    /// given zones rest. A request that only they could serve is best refused at once, with this time.
     #[must_use]
     pub fn all_rest(&self, now: Moment, service: &id::Service, zones: Option<&[id::Zone]>) -> Option<Duration> {
         self.notices.resting(now, service).next()?;
@@ -106,49 +109,50 @@
         first
     }
 
-    /// Forgets rests that are over.
+    /// Removes expired rests.
     pub(super) fn end_rests(&mut self, now: Moment) {
         self.notices.end_rests(now);
     }
 
-    /// A life of an upstream leaves, by its answer to this router or by what a peer heard: nothing new goes there, and the
-    /// others are told.
-    fn learn_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
+    /// Records that an incarnation of an upstream is leaving, by its answer to this router or to a peer. It receives
+    /// no new requests, and the other routers are notified.
+    fn record_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
         if !self.notices.leaving.insert(upstream.clone()) {
             return Vec::new();
         }
-        if self.notices.leaving.len() > GONE {
+        if self.notices.leaving.len() > MAX_LEAVING {
             let view = &self.view;
-            self.notices.leaving.retain(|life| view.upstream(life).is_some() || life == upstream);
+            self.notices.leaving.retain(|known| view.upstream(known).is_some() || known == upstream);
         }
         let mut effects = vec![Effect::Leaves(upstream.clone())];
-        effects.extend(self.regroup_some(now, &[Subject::Upstream(upstream.name())].into()));
+        effects.extend(self.update_pool_members(now, &[Subject::Upstream(upstream.name())].into()));
         effects.extend(self.spread_leaving(now, upstream));
         effects
     }
 
-    /// A peer passed on what is said of an upstream.
-    pub(super) fn heard_of(&mut self, now: Moment, word: &Word) -> Vec<Effect> {
-        match word.state {
-            packet::State::Draining => self.learn_leaving(now, &word.upstream),
+    /// Handles a peer's update about an upstream.
+    pub(super) fn handle_upstream_update(&mut self, now: Moment, update: &Word) -> Vec<Effect> {
+        match update.state {
+            packet::State::Draining => self.record_leaving(now, &update.upstream),
             packet::State::Serving | packet::State::Unreachable => Vec::new(),
         }
     }
 
     fn spread_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
         let (boot, state) = (upstream.start().unwrap_or_default(), packet::State::Draining);
-        let told = self.swim.spread(Word { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
-        self.members(now, told)
+        let effects = self.swim.spread(Word { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
+        self.handle_membership(now, effects)
     }
 
-    /// Tells again of those that leave without the store saying so: a router that has just joined missed it. One router of a
-    /// zone is enough.
-    pub(super) fn retell_leaving(&mut self, now: Moment) -> Vec<Effect> {
+    /// Notifies the peers again of leaving upstreams that the store still shows as ready, since a router that has
+    /// just joined missed the first notification. One router of a zone does this.
+    pub(super) fn resend_leaving(&mut self, now: Moment) -> Vec<Effect> {
         if self.notices.leaving.is_empty() || self.watcher().as_ref() != Some(&self.me) {
             return Vec::new();
         }
-        let unsaid = |life: &&id::Upstream| self.view.upstream(life).is_some_and(|known| known.state == State::Ready);
-        let unsaid: Vec<_> = self.notices.leaving.iter().filter(unsaid).cloned().collect();
-        unsaid.iter().flat_map(|life| self.spread_leaving(now, life)).collect()
+        let shown_ready =
+            |upstream: &&id::Upstream| self.view.upstream(upstream).is_some_and(|entry| entry.state == State::Ready);
+        let shown_ready: Vec<_> = self.notices.leaving.iter().filter(shown_ready).cloned().collect();
+        shown_ready.iter().flat_map(|upstream| self.spread_leaving(now, upstream)).collect()
     }
 }
--- a/crates/stairvale-serve/src/core/spread.rs
+++ b/crates/stairvale-serve/src/core/spread.rs
@@ -1,9 +1,10 @@
-//! Changes of the store on their way to all routers: from the fleet's reader to the watchers, and from a watcher to its zone.
+//! Distribution of changes of the store to all routers: from the fleet's reader to the watchers, and from a watcher
+//! to its zone.
 //!
-//! In a large zone the watcher tells some routers, which tell the others. So what one router sends of a change grows with the root
-//! of the zone's size, and not with the size: of 10,000 upstreams that register with 985 routers 11 MB in place of 160 MB. Who tells
-//! whom is another choice for each change. Nothing depends on a relay: each router asks its watcher several times a second what
-//! is new, and hears of a change then whose relay was lost.
+//! In a large zone the watcher sends a change to some routers, which relay it to the others. What one router sends
+//! therefore grows with the square root of the zone's size: when 10,000 upstreams register with 985 routers it is 11
+//! MB instead of 160 MB. The relays differ for each change. Nothing depends on a relay: each router requests the
+//! latest changes from its watcher several times a second, and thereby receives a change whose relay was lost.
 
 use std::net::SocketAddr;
 
@@ -12,43 +13,47 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::{Member, Status};
 
-use super::{Core, Effect, is_heard};
+use super::{Core, Effect, has_responded};
 use crate::frame::Frame;
 
-/// Peers of a zone up to which the watcher tells each of them itself: 80 bytes a change and peer are little then, and nobody waits
-/// for a relay.
-const DIRECT: usize = 32;
+/// Maximum number of peers in a zone that the watcher sends changes to directly: each change costs only 80 bytes per
+/// peer then, and no router has to wait for a relay.
+const MAX_DIRECT_PEERS: usize = 32;
 
 pub(super) type Peer = (id::Router, SocketAddr);
 
 impl Core {
-    /// Tells what is new since a revision: a zone's watcher to its zone, the fleet's reader to the other watchers, too. Who
-    /// reads only for itself, since it heard too little, tells nobody: each of the others does the same.
-    pub(super) fn tell(&mut self, now: Moment, before: u64) -> Vec<Effect> {
+    /// Sends the changes since a revision: a zone's watcher to its zone, and the fleet's reader also to the other
+    /// watchers. A router that read the store only because it received too few updates sends nothing, since all
+    /// others in its position read, too.
+    pub(super) fn broadcast(&mut self, now: Moment, before: u64) -> Vec<Effect> {
         if !self.is_watcher() {
             return Vec::new();
         }
         let Some(news) = self.view.since(before) else {
             return Vec::new();
         };
-        let in_zone = |peer: &&Member| peer.zone == self.zone && is_heard(peer);
+        let in_zone = |peer: &&Member| peer.zone == self.zone && has_responded(peer);
         if matches!(news, News::Everything { .. }) {
-            // Who asks while that is on its way to it isn't told it twice. One that isn't known to know epochs may drop it, and is.
-            let takes = |peer: &&Member| in_zone(peer) && self.knows_epochs(&peer.router);
-            let told: Vec<_> = self.live_peers().filter(takes).map(|peer| (peer.router.clone(), now)).collect();
-            self.told_all.extend(told);
+            // A router that requests a snapshot while this one is in transit isn't sent another. A peer that may not
+            // support epochs may drop the snapshot, so it isn't recorded as having received it.
+            let receives_snapshot = |peer: &&Member| in_zone(peer) && self.knows_epochs(&peer.router);
+            let recipients: Vec<_> =
+                self.live_peers().filter(receives_snapshot).map(|peer| (peer.router.clone(), now)).collect();
+            self.snapshots_sent.extend(recipients);
         }
-        let zone: Vec<_> = self.live_peers().filter(|peer| peer.zone == self.zone && is_heard(peer)).collect();
+        let zone: Vec<_> = self.live_peers().filter(|peer| peer.zone == self.zone && has_responded(peer)).collect();
         let mut direct: Vec<Peer> = Vec::new();
-        if self.roles.leader.as_ref() == Some(&self.me) {
+        if self.roles.reader.as_ref() == Some(&self.me) {
             let watchers = self.roles.watchers.values().filter(|router| **router != self.me);
-            direct.extend(watchers.filter_map(|router| self.heard(router)));
+            direct.extend(watchers.filter_map(|router| self.responding_peer(router)));
         }
-        if zone.len() <= DIRECT {
+        if zone.len() <= MAX_DIRECT_PEERS {
             direct.extend(zone.into_iter().map(|peer| (peer.router.clone(), peer.address)));
-            return self.news(direct, news);
+            return self.news_frames(direct, news);
         }
-        // One that is suspected, or would misread what it passes on, is told like the others, and passes nothing on.
+        // A suspected peer, or one that would misread what it relays, receives the changes directly and relays
+        // nothing.
         let relays = |peer: &&Member| peer.status == Status::Alive && self.knows_epochs(&peer.router);
         let (mut relays, others): (Vec<_>, Vec<_>) = zone.into_iter().partition(relays);
         direct.extend(others.into_iter().map(|peer| (peer.router.clone(), peer.address)));
@@ -61,30 +66,30 @@
                 effects.push(Effect::Frame { to: relay.router.clone(), address: relay.address, frame });
             }
         }
-        effects.extend(self.news(direct, news));
+        effects.extend(self.news_frames(direct, news));
         effects
     }
 
-    /// Passes changes on to others of the zone.
-    pub(super) fn pass_on(&self, news: &News, to: &[id::Router]) -> Vec<Effect> {
-        let to: Vec<_> = to.iter().filter_map(|router| self.heard(router)).collect();
+    /// Relays changes to other routers of the zone.
+    pub(super) fn forward_news(&self, news: &News, to: &[id::Router]) -> Vec<Effect> {
+        let to: Vec<_> = to.iter().filter_map(|router| self.responding_peer(router)).collect();
         if to.is_empty() { Vec::new() } else { vec![Effect::Frames { to, frame: Box::new(Frame::News(news.clone())) }] }
     }
 
-    /// A peer told of changes.
-    pub(super) fn learn_news(&mut self, now: Moment, from: &id::Router, news: News) -> Vec<Effect> {
+    /// Handles changes that a peer sent.
+    pub(super) fn handle_news(&mut self, now: Moment, from: &id::Router, news: News) -> Vec<Effect> {
         let after = self.view.revision();
         if !self.view.take(news) {
-            return self.sync_with(now, from, after);
+            return self.send_sync(now, from, after);
         }
-        let mut effects = self.refresh(now);
-        effects.extend(self.tell(now, after));
+        let mut effects = self.apply_view(now);
+        effects.extend(self.broadcast(now, after));
         effects
     }
 
-    /// A peer that was heard of, with its address.
-    pub(super) fn heard(&self, router: &id::Router) -> Option<Peer> {
-        let peer = self.swim.peer(router).filter(|peer| is_heard(peer))?;
+    /// A peer that has responded, with its address.
+    pub(super) fn responding_peer(&self, router: &id::Router) -> Option<Peer> {
+        let peer = self.swim.peer(router).filter(|peer| has_responded(peer))?;
         Some((peer.router.clone(), peer.address))
     }
 }
--- a/crates/stairvale-serve/src/core/writing.rs
+++ b/crates/stairvale-serve/src/core/writing.rs
@@ -1,78 +1,80 @@
-//! How a home's changes of records reach the store: by its own calls, or by a peer's while those fail.
+//! The path by which a home's changes of records reach the store: its own calls, or a peer's while its own fail.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use stairvale_rollout::Written;
 use stairvale_types::{Moment, id};
 
-/// A peer that doesn't answer for this long may have written or not: several round trips and a slow call to the store.
-const ANSWER: Duration = Duration::from_millis(1_000);
-/// After this long by peers the own calls are tried again, though the peers' go well.
-const RESEND_INTERVAL: Duration = Duration::from_secs(10);
+/// Time after which a peer's result is no longer waited for and counts as unknown: several round trips and a slow
+/// call to the store.
+const PEER_WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time of writing through peers after which this router tries its own calls again, even if the peers' writes
+/// succeed.
+const OWN_WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The way that is taken now. The one that worked is kept, and the other one tried after each failure.
+/// The current path of writes. A path that works is kept; after a failure the other one is tried.
 #[derive(Debug, Default)]
 pub(super) struct Writing {
-    /// Since when peers write, if they do.
-    others: Option<Moment>,
+    /// Since when writes go through peers, if they do.
+    via_peers_since: Option<Moment>,
     number: u64,
-    /// What peers were asked to write, and until when they may answer.
-    asked: BTreeMap<u64, (id::Service, Moment)>,
+    /// Writes that peers were requested to make, with the deadline for the answer.
+    pending: BTreeMap<u64, (id::Service, Moment)>,
 }
 
 impl Writing {
-    /// Whether a peer is asked next.
-    pub(super) fn by_others(&mut self, now: Moment) -> bool {
-        self.others = self.others.filter(|since| now.since(*since) < RESEND_INTERVAL);
-        self.others.is_some()
+    /// Whether the next write goes through a peer.
+    pub(super) fn uses_peers(&mut self, now: Moment) -> bool {
+        self.via_peers_since = self.via_peers_since.filter(|since| now.since(*since) < OWN_WRITE_RETRY_INTERVAL);
+        self.via_peers_since.is_some()
     }
 
-    /// One of some peers, another one each time.
+    /// Selects one of the given peers, another one for each write.
     pub(super) fn pick<'a>(&self, peers: &'a [id::Router]) -> Option<&'a id::Router> {
         let index = usize::try_from(self.number).unwrap_or(0).checked_rem(peers.len())?;
         peers.get(index)
     }
 
-    /// A peer is asked; gives the number of the question.
+    /// Records that a peer is requested to write; returns the number of the request.
     pub(super) fn forward(&mut self, now: Moment, service: id::Service) -> u64 {
         self.number = self.number.wrapping_add(1);
-        self.asked.insert(self.number, (service, now + ANSWER));
+        self.pending.insert(self.number, (service, now + PEER_WRITE_TIMEOUT));
         self.number
     }
 
-    /// A peer answered; gives the service, if its answer is still waited for.
-    pub(super) fn forwarded(&mut self, number: u64, written: &Written) -> Option<id::Service> {
-        let (service, _) = self.asked.remove(&number)?;
-        if !reached(written) {
-            self.others = None;
+    /// Records a peer's answer; returns the service if the answer was still awaited.
+    pub(super) fn take_forwarded(&mut self, number: u64, written: &Written) -> Option<id::Service> {
+        let (service, _) = self.pending.remove(&number)?;
+        if !was_processed(written) {
+            self.via_peers_since = None;
         }
         Some(service)
     }
 
-    /// This router's own call ended.
-    pub(super) fn own_ended(&mut self, now: Moment, written: &Written) {
-        self.others = (!reached(written)).then_some(now);
+    /// Records the result of this router's own call.
+    pub(super) fn own_write_ended(&mut self, now: Moment, written: &Written) {
+        self.via_peers_since = (!was_processed(written)).then_some(now);
     }
 
-    /// The services whose changes peers didn't answer for in time.
-    pub(super) fn late(&mut self, now: Moment) -> Vec<id::Service> {
-        let mut late = Vec::new();
-        self.asked.retain(|_, (service, until)| {
+    /// Removes the writes that peers didn't answer in time, and returns their services.
+    pub(super) fn take_timed_out(&mut self, now: Moment) -> Vec<id::Service> {
+        let mut timed_out = Vec::new();
+        self.pending.retain(|_, (service, until)| {
             let waits = *until > now;
             if !waits {
-                late.push(service.clone());
+                timed_out.push(service.clone());
             }
             waits
         });
-        if !late.is_empty() {
-            self.others = None;
+        if !timed_out.is_empty() {
+            self.via_peers_since = None;
         }
-        late
+        timed_out
     }
 }
 
-/// Whether the store said what became of a change.
-fn reached(written: &Written) -> bool {
+/// Whether the store processed the change, so that its result is known.
+fn was_processed(written: &Written) -> bool {
     match written {
         Written::Done(_) | Written::Conflict(_) => true,
         Written::Refused | Written::Unknown => false,
--- a/crates/stairvale-serve/src/frame.rs
+++ b/crates/stairvale-serve/src/frame.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other.
+//! The frames that routers send each other.
 
 use std::time::Duration;
 
@@ -12,146 +12,148 @@
 /// A frame on a stream between two routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// To a service's home: a request wants an upstream.
+    /// Sent to a service's home: requests an upstream for a request.
     Ask {
-        /// The service.
+        /// The service whose upstreams may serve the request.
         service: id::Service,
-        /// The request.
+        /// The request's properties.
         ask: Ask,
     },
-    /// From the home: the decision; `None` if it can't decide, being no home or not ready.
+    /// Sent by the home: the decision; `None` if it can't decide, since it isn't the home or isn't ready.
     Decided {
-        /// The attempt.
+        /// The attempt that was decided.
         attempt: id::Attempt,
-        /// The decision.
+        /// The home's decision.
         verdict: Option<Verdict>,
     },
-    /// From the home: the request waits.
+    /// Sent by the home: the request waits in its queue.
     Waits {
-        /// The attempt.
+        /// The attempt that waits.
         attempt: id::Attempt,
     },
-    /// To the home: the request no longer wants an upstream, or got this one too late.
+    /// Sent to the home: the request no longer needs an upstream, or was granted this one too late.
     Forget {
-        /// The service.
+        /// The service of the request.
         service: id::Service,
-        /// The attempt.
+        /// The attempt that is withdrawn.
         attempt: id::Attempt,
     },
-    /// To the home: the first event came.
+    /// Sent to the home: the first event of the answer arrived.
     Begun {
-        /// The service.
+        /// The service of the request.
         service: id::Service,
-        /// The attempt.
+        /// The attempt that was granted.
         attempt: id::Attempt,
-        /// How long after it was sent.
+        /// The time from sending the request to the first event.
         took: Duration,
     },
-    /// To the home: the request ended.
+    /// Sent to the home: the request ended.
     Release {
-        /// The service.
+        /// The service of the request.
         service: id::Service,
-        /// The attempt.
+        /// The attempt that ended.
         attempt: id::Attempt,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: Outcome,
-        /// The time of a plain answer.
+        /// The duration of a plain answer; `None` for any other end.
         took: Option<Duration>,
     },
-    /// To the home: all that this router runs of the service.
+    /// Sent to the home: all requests of the service that run at the sender.
     Renew {
-        /// The service.
+        /// The service of the requests.
         service: id::Service,
-        /// What it runs.
+        /// The running requests.
         held: Vec<Held>,
     },
-    /// To a service's next home: what an upstream holds of shared parts.
+    /// Sent to a service's next home: the shared prompt blocks that an upstream holds.
     Prefixes {
-        /// The service.
+        /// The service of the upstream.
         service: id::Service,
-        /// The upstream.
+        /// The upstream that holds the blocks.
         upstream: id::Upstream,
-        /// What it holds.
+        /// The blocks that the upstream holds.
         parts: Vec<Part>,
     },
-    /// To a service's next home: a prompt went to an upstream.
+    /// Sent to a service's next home: a prompt was sent to an upstream.
     Read {
-        /// The service.
+        /// The service of the prompt.
         service: id::Service,
-        /// The upstream.
+        /// The upstream that received the prompt.
         upstream: id::Upstream,
-        /// The prompt's parts.
+        /// The prompt's blocks.
         parts: Vec<Part>,
     },
-    /// "What do you know that I don't, and how fresh is it?"
+    /// Requests the changes that the sender lacks, and the age of the receiver's copy.
     Sync(Sync),
     /// The answer to a [`Frame::Sync`].
     Synced {
-        /// From the question.
+        /// The number of the sync request.
         number: u64,
-        /// How long ago the sender's copy was known to be the newest.
+        /// How long ago the sender's copy was confirmed to be the newest; `None` if it never was.
         age: Option<Duration>,
         /// The revision of the sender's copy.
         revision: u64,
-        /// How long the store hasn't failed the sender, if it reads the store itself.
+        /// How long the store hasn't failed the sender, or the reader from which the sender receives updates; `None`
+        /// if unknown.
         calm: Option<Duration>,
-        /// What the asker lacks.
+        /// The changes that the receiver lacks.
         news: Option<News>,
-        /// Whether the sender knows how many routers there are: it didn't start a moment ago.
+        /// Whether the sender knows the number of routers; one that has just started doesn't.
         knows_fleet: bool,
-        /// The routers that live, if the asker knows clearly fewer.
+        /// The live routers, if the receiver knows clearly fewer.
         members: Vec<Member>,
     },
-    /// Changes, as soon as the sender read them.
+    /// Changes of the store, sent as soon as the sender has read them.
     News(News),
-    /// The same, to be passed on to others of the zone.
+    /// Changes of the store, to be relayed to other routers of the zone.
     Relay {
-        /// The changes.
+        /// The changes to relay.
         news: News,
-        /// Who hears of them from the receiver.
+        /// The routers to which the receiver relays the changes.
         to: Vec<id::Router>,
     },
-    /// From a service's home whose own way to the store fails: "write this for me". It may be done twice.
+    /// Sent by a service's home that can't write to the store itself: requests the receiver to write. The write may
+    /// be made twice.
     Write {
-        /// Comes back in the answer.
+        /// The number of the request, returned in the answer.
         number: u64,
-        /// The change.
+        /// The change to write.
         write: Write,
     },
     /// The answer to a [`Frame::Write`].
     Written {
-        /// From the question.
+        /// The number of the write request.
         number: u64,
-        /// What became of it.
+        /// The result of the write.
         written: Written,
     },
-    /// From a service's home to everybody: the version is bad that the order of this revision names.
+    /// Sent by a service's home to all routers: rejects the version that an order names.
     Condemned {
-        /// The service.
+        /// The service that is rolled out.
         service: id::Service,
         /// The store's revision of the order.
         order: u64,
     },
-    /// From a service's home to whoever may be the next one: what it learnt of a request that upstreams end under.
+    /// Sent by a service's home to its successors: what it learned about a request under which upstreams crash.
     Evidence {
-        /// The service.
+        /// The service of the request.
         service: id::Service,
-        /// What it learnt.
+        /// The new evidence.
         evidence: Evidence,
     },
-    /// From a service's home to everybody: upstreams end because of a request, which is to go nowhere for a while.
+    /// Sent by a service's home to all routers: a request makes upstreams crash and is quarantined.
     Quarantined {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: id::Fingerprint,
-        /// How much longer it is kept from upstreams.
+        /// The remaining time of the quarantine.
         left: Duration,
-        /// For how long it is in all.
+        /// The total length of the quarantine.
         length: Duration,
     },
 }
 
 impl Frame {
-    /// Its name in metrics.
+    /// The frame's name in metrics.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -177,13 +179,13 @@
     }
 }
 
-/// What one router asks another about its copy of the store.
+/// A router's sync request: asks a peer for changes of the store and for the age of the peer's copy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sync {
-    /// Comes back in the answer.
+    /// The number of the request, returned in the answer.
     pub number: u64,
-    /// The revision that is known, if what came after it is wanted; 0 for everything.
+    /// The revision of the sender's copy, if it requests the changes since; 0 requests everything.
     pub after: Option<u64>,
-    /// How many routers the asker knows to live, if it wants to be told of more.
+    /// The number of live routers that the sender knows, if it requests the list of members.
     pub routers: Option<usize>,
 }
--- a/crates/stairvale-serve/src/permit.rs
+++ b/crates/stairvale-serve/src/permit.rs
@@ -1,4 +1,4 @@
-//! A place at an upstream, from the ask to its end.
+//! A request's permit for an upstream, from the ask to the end of the request.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,32 +9,33 @@
 
 use crate::{Shared, core::Reply};
 
-/// The share of the objective that a home may take to say anything.
-const ANSWER_SHARE: u32 = 5;
-/// A home is given at least this long.
-const ANSWER_LEAST: Duration = Duration::from_millis(40);
-/// A home is given at most this long.
-const ANSWER_MOST: Duration = Duration::from_millis(120);
-/// Time to read what came while this process stood still.
-const CATCH_UP: Duration = Duration::from_millis(5);
-/// Homes that are asked before this router decides by itself: the home, its heir in another zone, and who decides for this zone
-/// if it is cut off.
-const HOMES: usize = 3;
-/// Places that a request is granted at upstreams which, as this router has heard meanwhile, want nothing from it.
-const UNWANTED: usize = 8;
-/// When to come back if nobody can decide.
-const COME_BACK: Duration = Duration::from_millis(500);
-
-/// A place at an upstream. It is given back when the guard is dropped, however the request ended.
+/// Fraction of a request's objective, as a divisor, that a home may take for its first reply.
+const ANSWER_TIMEOUT_DIVISOR: u32 = 5;
+/// Lower limit of the time that a home has for its first reply.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
+/// Upper limit of the time that a home has for its first reply.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
+/// Extra time, after a timeout, to read replies that arrived while this process wasn't running.
+const LATE_REPLY_GRACE: Duration = Duration::from_millis(5);
+/// Number of homes that are tried before this router decides by itself: the home, its successor in another zone, and
+/// the router that decides for this zone if it is cut off.
+const MAX_HOMES: usize = 3;
+/// Maximum number of grants for upstreams which, by notices that this router received in the meantime, want no
+/// requests from it.
+const MAX_UNUSABLE_GRANTS: usize = 8;
+/// Time after which a client should retry if no router can decide.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Permission to send a request to an upstream. It is released when this guard is dropped, however the request ended.
 #[derive(Debug)]
 pub struct Permit {
     shared: Arc<Shared>,
     attempt: id::Attempt,
-    /// The upstream, as it was when the place was granted.
+    /// The upstream's entry at the time of the grant.
     pub upstream: Upstream,
-    /// Tokens that it has to read.
+    /// The number of tokens that the upstream has to prefill.
     pub read: u32,
-    /// Where it may copy what it lacks of the prompt's shared parts.
+    /// The address of an engine from which the upstream can copy the missing part of the prompt's shared blocks.
     pub source: Option<SocketAddr>,
     since: Moment,
     outcome: Outcome,
@@ -43,29 +44,29 @@
 }
 
 impl Permit {
-    /// The first event came.
+    /// Reports that the first event of the answer arrived.
     pub fn begun(&self) {
         let took = self.shared.now().since(self.since);
         self.shared.with(|core, now| core.begun(now, self.attempt, took));
     }
 
-    /// Says how it ended.
+    /// Releases the permit with an outcome.
     pub fn end(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Says that a plain answer came.
+    /// Releases the permit after a complete plain answer.
     pub fn served(mut self) {
         self.outcome = Outcome::Served;
         self.took = Some(self.shared.now().since(self.since));
     }
 
-    /// Waits until the life of the upstream is over, since another one of its name has begun.
+    /// Waits until the upstream was replaced by another incarnation under the same name.
     pub async fn life_over(&self) {
         self.over.notified().await;
     }
 
-    /// How long ago it was granted.
+    /// The time since the permit was granted.
     #[must_use]
     pub fn held(&self) -> Duration {
         self.shared.now().since(self.since)
@@ -74,24 +75,24 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.shared.run_no_more(self.attempt);
+        self.shared.unregister_running(self.attempt);
         self.shared.with(|core, now| core.end(now, self.attempt, self.outcome, self.took));
     }
 }
 
-/// A request that wants a place.
+/// A request for a permit.
 #[derive(Clone, Debug)]
 pub struct Want<'a> {
-    /// The service.
+    /// The service whose upstreams may serve the request.
     pub service: &'a id::Service,
-    /// The ask, but for the attempt, which is new for each home.
+    /// The ask to send, except for the attempt, which is new for each home.
     pub ask: Ask,
-    /// The time to the answer that is aimed at.
+    /// The targeted time until the answer.
     pub objective: Duration,
 }
 
-/// An ask that is taken back unless it is answered, also when the caller leaves.
-struct Asking<'a> {
+/// An ask that is withdrawn on drop unless it was answered, also when the caller disconnects.
+struct PendingAsk<'a> {
     shared: &'a Arc<Shared>,
     service: &'a id::Service,
     attempt: id::Attempt,
@@ -99,7 +100,7 @@
     open: bool,
 }
 
-impl Drop for Asking<'_> {
+impl Drop for PendingAsk<'_> {
     fn drop(&mut self) {
         self.shared.expect_no_more(self.attempt);
         if self.open {
@@ -108,29 +109,29 @@
     }
 }
 
-/// The next reply of a home; `None` if it is silent. A timer that went off late, since this process stood still, says nothing
-/// of the home: what came meanwhile is read first.
+/// Waits for a home's next reply; `None` if it doesn't respond in time. A timer that fired late because this process
+/// wasn't running says nothing about the home, so replies that arrived in the meantime are read first.
 pub async fn next(replies: &mut mpsc::UnboundedReceiver<Reply>, limit: Duration) -> Option<Reply> {
     match tokio::time::timeout(limit, replies.recv()).await {
         Ok(reply) => reply,
-        Err(_) => tokio::time::timeout(CATCH_UP, replies.recv()).await.ok().flatten(),
+        Err(_) => tokio::time::timeout(LATE_REPLY_GRACE, replies.recv()).await.ok().flatten(),
     }
 }
 
-/// Gets a place from the service's home; where no home answers, this router decides by what it knows itself.
+/// Obtains a permit from the service's home. If no home responds, this router decides from its own account.
 ///
 /// # Errors
-/// A [`Refusal`] if there is no place now.
+/// A [`Refusal`] if no permit can be granted now.
 pub async fn get(shared: &Arc<Shared>, mut want: Want<'_>) -> Result<Permit, Refusal> {
-    let patience = (want.objective / ANSWER_SHARE).clamp(ANSWER_LEAST, ANSWER_MOST);
-    let (mut silent, mut unwanted) = (0, 0);
-    while silent <= HOMES && unwanted < UNWANTED {
+    let answer_timeout = (want.objective / ANSWER_TIMEOUT_DIVISOR).clamp(MIN_ANSWER_TIMEOUT, MAX_ANSWER_TIMEOUT);
+    let (mut unresponsive, mut unusable) = (0, 0);
+    while unresponsive <= MAX_HOMES && unusable < MAX_UNUSABLE_GRANTS {
         let (all_rest, resting) = shared.look(|core, now| {
             let zones = want.ask.within.as_deref();
             (core.all_rest(now, want.service, zones), core.resting(now, want.service))
         });
-        if let Some(left) = all_rest {
-            return Err(Refusal::new(Reason::Busy, left));
+        if let Some(remaining) = all_rest {
+            return Err(Refusal::new(Reason::Busy, remaining));
         }
         let attempt = id::Attempt(uuid::Uuid::new_v4().as_u128());
         let mut ask = Ask { attempt, ..want.ask.clone() };
@@ -140,61 +141,61 @@
         let me = shared.settings.router.clone();
         let mut home = me.clone();
         shared.with(|core, now| {
-            if silent == HOMES {
+            if unresponsive == MAX_HOMES {
                 return core.ask_self(now, want.service, ask);
             }
-            let (asked, effects) = core.ask(now, want.service, ask);
-            home = asked;
+            let (current_home, effects) = core.ask(now, want.service, ask);
+            home = current_home;
             effects
         });
-        let mut asking = Asking { shared, service: want.service, attempt, home, open: true };
-        let mut limit = if asking.home == me { wait + patience } else { patience };
+        let mut pending = PendingAsk { shared, service: want.service, attempt, home, open: true };
+        let mut limit = if pending.home == me { wait + answer_timeout } else { answer_timeout };
         let verdict = loop {
             match next(&mut replies, limit).await {
-                Some(Reply::Waits) => limit = wait + patience,
+                Some(Reply::Waits) => limit = wait + answer_timeout,
                 Some(Reply::Decided(verdict)) => break verdict,
                 None => {
                     shared.metrics.count("home-silent");
-                    tracing::info!(service = %want.service, home = %asking.home, "a home did not answer");
+                    tracing::info!(service = %want.service, home = %pending.home, "a home did not answer");
                     break None;
                 }
             }
         };
         match verdict {
             Some(Verdict::Granted { upstream, read, source }) => {
-                let place = shared.look(|core, now| {
+                let entry = shared.look(|core, now| {
                     let rests = core.rest(now, want.service, &upstream).is_some();
                     core.place(&upstream).filter(|_| !rests)
                 });
-                let Some(place) = place else {
-                    // It began to leave, or to rest, in between, by what this router knows.
+                let Some(entry) = entry else {
+                    // By notices that this router received in the meantime, the upstream began to leave or to rest.
                     shared.metrics.count("granted-unwanted");
-                    unwanted += 1;
-                    // The home may not know it yet, and would choose it again.
+                    unusable += 1;
+                    // The home may not know this yet and would choose the same upstream again.
                     want.ask.avoid.push(upstream);
                     continue;
                 };
-                asking.open = false;
+                pending.open = false;
                 let (customer, route, fingerprint) = (want.ask.customer.clone(), want.ask.route, want.ask.fingerprint);
                 let held = Held { attempt, upstream, read, customer, route, fingerprint };
                 let (since, source) = shared.change(|core, now| {
-                    core.start(want.service, held, &asking.home, &want.ask.parts);
+                    core.start(want.service, held, &pending.home, &want.ask.parts);
                     let rests = |source: &id::Upstream| core.rest(now, want.service, source).is_some();
                     (now, source.filter(|source| !rests(source)).and_then(|source| core.address(&source)))
                 });
-                let over = shared.run(attempt);
+                let over = shared.register_running(attempt);
                 let (shared, outcome) = (shared.clone(), Outcome::Abandoned);
-                return Ok(Permit { shared, attempt, upstream: place, read, source, since, outcome, took: None, over });
+                return Ok(Permit { shared, attempt, upstream: entry, read, source, since, outcome, took: None, over });
             }
             Some(Verdict::Refused(refusal)) => {
-                asking.open = false;
+                pending.open = false;
                 return Err(refusal);
             }
             None => {
-                silent += 1;
-                shared.change(|core, now| core.distrust(now, &asking.home));
+                unresponsive += 1;
+                shared.change(|core, now| core.distrust(now, &pending.home));
             }
         }
     }
-    Err(Refusal::new(Reason::NoUpstream, COME_BACK))
+    Err(Refusal::new(Reason::NoUpstream, RETRY_AFTER))
 }
--- a/crates/stairvale-serve/src/quarantine.rs
+++ b/crates/stairvale-serve/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Writing to the store which requests go nowhere.
+//! Writes quarantined requests to the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,44 +7,44 @@
 
 use crate::{Shared, Source, source::Fault};
 
-/// The first pause after a failed call; it doubles up to [`LONGEST`].
-const FIRST: Duration = Duration::from_millis(500);
-/// The longest pause.
-const LONGEST: Duration = Duration::from_secs(8);
+/// The pause after the first failed call; it doubles with each further one, up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper limit of the pause after a failed call.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// The shortest lease that the users' store grants.
-const LEAST_LEASE: Duration = Duration::from_secs(1);
+/// The shortest lease that the store grants.
+const MIN_LEASE: Duration = Duration::from_secs(1);
 
-/// A request that goes nowhere.
+/// A request that is to be recorded as quarantined.
 #[derive(Clone, Copy, Debug)]
 pub struct Term {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: id::Fingerprint,
-    /// For how long, from when it was found.
+    /// The length of the quarantine, counted from `since`.
     pub length: Duration,
-    /// When it was found.
+    /// When the request was found to make upstreams crash.
     pub since: Moment,
 }
 
-/// Writes what is due, one after the other, until the task is dropped. What the store doesn't take is tried again as long as it
-/// matters: a fleet that loses all its routers at once has it from there alone.
+/// Writes quarantines that are due, one after the other, until the task is dropped. A failed write is retried as long
+/// as the quarantine lasts, since the store is the only source of it for a fleet that loses all its routers at once.
 pub async fn run<S: Source>(shared: Arc<Shared>, source: Arc<S>, mut due: mpsc::UnboundedReceiver<Term>) {
     while let Some(term) = due.recv().await {
-        let mut pause = FIRST;
-        let left = || term.length.saturating_sub(shared.now().since(term.since));
-        while let Err(fault) = write(&*source, term, left()).await {
-            tracing::info!(fingerprint = %term.fingerprint, %fault, "the store doesn't take what goes nowhere");
+        let mut pause = INITIAL_BACKOFF;
+        let remaining = || term.length.saturating_sub(shared.now().since(term.since));
+        while let Err(fault) = write(&*source, term, remaining()).await {
+            tracing::info!(fingerprint = %term.fingerprint, %fault, "writing a quarantine to the store failed");
             shared.metrics.count("quarantine-fault");
-            if left().is_zero() {
+            if remaining().is_zero() {
                 break;
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST);
+            pause = (pause * 2).min(MAX_BACKOFF);
         }
     }
 }
 
-async fn write<S: Source>(source: &S, term: Term, left: Duration) -> Result<(), Fault> {
-    let lease = source.grant(left.max(LEAST_LEASE)).await?;
+async fn write<S: Source>(source: &S, term: Term, remaining: Duration) -> Result<(), Fault> {
+    let lease = source.grant(remaining.max(MIN_LEASE)).await?;
     source.quarantine(&lease, term.fingerprint, term.length).await
 }
--- a/crates/stairvale-serve/src/ready.rs
+++ b/crates/stairvale-serve/src/ready.rs
@@ -1,4 +1,4 @@
-//! The balancer's question whether a router is ready, and its metrics.
+//! The endpoint for the balancer's readiness checks and for metrics.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -9,13 +9,14 @@
 
 use crate::{Shared, body::Body, core::Core, metrics, rollouts};
 
-/// Where metrics are told.
-const METRICS: &str = "/metrics";
+/// The path of the metrics.
+const METRICS_PATH: &str = "/metrics";
 
-/// Customers of a service that are named in metrics: enough to see who surges, few enough for whoever stores them.
-const NAMED: usize = 8;
+/// Number of customers per service that metrics list by name: enough to show which one causes a burst, and few enough
+/// for the system that stores the metrics.
+const MAX_CUSTOMERS: usize = 8;
 
-/// Answers the balancer and whoever reads metrics, until the task is dropped.
+/// Serves readiness checks and metrics until the task is dropped.
 pub async fn listen(shared: Arc<Shared>, listener: TcpListener, path: &'static str) {
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
@@ -28,16 +29,17 @@
                 let answer = answer(&shared, path, &request);
                 async move { Ok::<_, Infallible>(answer) }
             });
-            // A balancer that goes away is not our concern.
+            // It doesn't matter here if the balancer closes its connection.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(tcp), service).await;
         });
     }
 }
 
 fn answer(shared: &Shared, path: &str, request: &Request<Incoming>) -> Response<Body> {
-    if request.uri().path() == METRICS {
-        // The last line of the other metrics ends the document, so these stand before.
-        let more = shared.look(|core, _| metrics::customers(core.customers(NAMED)) + &rollouts::metrics(core.view()));
+    if request.uri().path() == METRICS_PATH {
+        // The other metrics end with the line that terminates the document, so these come first.
+        let more =
+            shared.look(|core, _| metrics::customers(core.customers(MAX_CUSTOMERS)) + &rollouts::metrics(core.view()));
         return Response::new(Body::whole(more + &shared.metrics.text()));
     }
     let ready = !shared.is_stopping() && shared.look(Core::is_ready);
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -1,4 +1,4 @@
-//! What a process's tasks share, and how the core's effects are carried out.
+//! The state that the tasks of a process share, and the execution of the core's effects.
 
 use std::{
     collections::HashMap,
@@ -38,11 +38,11 @@
     upstream::Connections,
 };
 
-/// A process that can reach the store or a peer knows the configuration this long after its start: on small VMs that all start
-/// at once after a loss of power it takes 350 to 600 ms (docs/INCIDENTS.md).
+/// Time after its start by which a process that can reach the store or a peer has a configuration. On small VMs that
+/// all start at once after a loss of power it takes 350 to 600 ms (docs/INCIDENTS.md).
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Hands what links bring to the core.
+/// Passes frames and events of the links to the core.
 #[derive(Clone, Debug)]
 pub struct Inbox(Weak<Shared>);
 
@@ -56,7 +56,7 @@
     fn broken(&self, to: &id::Router) {
         if let Some(shared) = self.0.upgrade() {
             tracing::info!(peer = %to, "the stream to a peer broke");
-            shared.unanswered(to);
+            shared.fail_pending_asks(to);
             shared.with(|core, now| {
                 core.broken(now, to);
                 Vec::new()
@@ -68,32 +68,32 @@
 /// A request that waits for a home's replies.
 struct Waiter {
     replies: mpsc::UnboundedSender<Reply>,
-    /// The peer that was asked, if it is one.
+    /// The peer that was asked, unless this router decides itself.
     home: Option<id::Router>,
 }
 
 impl Waiter {
-    fn tell(&self, reply: Reply) {
-        // A request that no longer waits needs no reply.
+    fn send(&self, reply: Reply) {
+        // The request may have stopped waiting; then the reply isn't needed.
         let _ = self.replies.send(reply);
     }
 }
 
-/// What all tasks of a process share.
+/// The state that all tasks of a process share.
 pub struct Shared {
-    /// The settings it started with.
+    /// The settings that the process was started with.
     pub settings: Settings,
     /// The configuration in force.
     pub table: ArcSwap<Table>,
-    /// What is counted.
+    /// The counters of this process.
     pub metrics: Metrics,
-    /// What time it is.
+    /// The clock of this process.
     pub clock: Clock,
-    /// Connections to upstreams.
+    /// The connections to upstreams.
     pub upstreams: Connections,
-    /// Whether the process stops.
+    /// Whether the process is shutting down.
     pub stopping: AtomicBool,
-    /// Tells callers' connections to end as soon as they rest.
+    /// Notifies callers' connections to close as soon as they are idle.
     pub closing: watch::Sender<bool>,
     /// Whether a configuration is in force.
     configured: watch::Sender<bool>,
@@ -104,7 +104,7 @@
     links: Links<Frame, Inbox>,
     socket: Arc<UdpSocket>,
     waiting: Mutex<HashMap<id::Attempt, Waiter>>,
-    /// Tells requests that the life of their upstream is over.
+    /// Notifies running requests that their upstream was replaced by another incarnation.
     running: Mutex<HashMap<id::Attempt, Arc<Notify>>>,
 }
 
@@ -115,7 +115,7 @@
 }
 
 impl Shared {
-    /// What a process starts with.
+    /// Creates the shared state of a process.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -146,79 +146,80 @@
         })
     }
 
-    /// The sink for streams from peers.
+    /// Creates the sink for streams from peers.
     #[must_use]
     pub fn inbox(self: &Arc<Self>) -> Inbox {
         Inbox(Arc::downgrade(self))
     }
 
-    /// Now, on this process's clock.
+    /// The current time on this process's clock.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Whether the process stops.
+    /// Whether the process is shutting down.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Waits until a configuration is in force, for `limit` at most, and no longer than a process needs to learn it after
-    /// its start: a request that comes in that time is served a moment later rather than sent away.
+    /// Waits until a configuration is in force, for at most `limit`, and no longer than a process usually needs to
+    /// receive one after its start. A request that arrives in that time is served a moment later instead of being
+    /// refused.
     pub async fn until_configured(&self, limit: Duration) {
         let left = CONFIGURATION_WAIT.saturating_sub(self.now().since(Moment::ZERO)).min(limit);
         let mut configured = self.configured.subscribe();
         if !left.is_zero() && !*configured.borrow() {
-            // Whether it came or not, the request is judged by what is known then.
+            // With or without a configuration, the request is then handled by the current state.
             let _ = tokio::time::timeout(left, configured.wait_for(|configured| *configured)).await;
         }
     }
 
-    /// Asks the core.
-    pub fn look<T>(&self, ask: impl FnOnce(&Core, Moment) -> T) -> T {
+    /// Reads from the core.
+    pub fn look<T>(&self, read: impl FnOnce(&Core, Moment) -> T) -> T {
         let now = self.now();
-        ask(&self.core(), now)
+        read(&self.core(), now)
     }
 
-    /// Lets the core decide, and does what it says.
+    /// Changes the core and carries out the resulting effects.
     pub fn with(&self, decide: impl FnOnce(&mut Core, Moment) -> Vec<Effect>) {
         let now = self.now();
         let effects = decide(&mut self.core(), now);
         self.perform(effects);
     }
 
-    /// Changes the core where nothing is to be done after it.
+    /// Changes the core where no effects result.
     pub fn change<T>(&self, change: impl FnOnce(&mut Core, Moment) -> T) -> T {
         let now = self.now();
         change(&mut self.core(), now)
     }
 
-    /// Opens a way for a home's replies to a request.
+    /// Opens a channel for a home's replies to a request.
     pub fn expect(&self, attempt: id::Attempt) -> mpsc::UnboundedReceiver<Reply> {
         let (replies, receiver) = mpsc::unbounded_channel();
         self.waiting().insert(attempt, Waiter { replies, home: None });
         receiver
     }
 
-    /// Closes that way.
+    /// Closes the channel for a home's replies to a request.
     pub fn expect_no_more(&self, attempt: id::Attempt) {
         self.waiting().remove(&attempt);
     }
 
-    /// A request runs from now on; what is given tells when the life of its upstream is over.
-    pub fn run(&self, attempt: id::Attempt) -> Arc<Notify> {
+    /// Registers a running request; the result is notified when its upstream was replaced by another incarnation.
+    pub fn register_running(&self, attempt: id::Attempt) -> Arc<Notify> {
         let over: Arc<Notify> = Arc::default();
         self.running().insert(attempt, over.clone());
         over
     }
 
-    /// It runs no more.
-    pub fn run_no_more(&self, attempt: id::Attempt) {
+    /// Removes a request that has ended from the running ones.
+    pub fn unregister_running(&self, attempt: id::Attempt) {
         self.running().remove(&attempt);
     }
 
-    /// Does what the core says.
+    /// Carries out effects of the core.
     pub fn perform(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -232,22 +233,22 @@
                 Effect::Datagram { to, packet } => {
                     if let Ok(bytes) = codec::pack(&packet) {
                         self.count_to(Kind::Datagram, to, bytes.len());
-                        // Datagrams may be lost; the next probe says the same.
+                        // Datagrams may be lost; the next probe carries the same information.
                         let _ = self.socket.try_send_to(&bytes, to);
                     }
                 }
                 Effect::Reply { attempt, reply } => {
                     if let Some(waiter) = self.waiting().get(&attempt) {
-                        waiter.tell(reply);
+                        waiter.send(reply);
                     }
                 }
                 Effect::Inspect { service, upstream, address } => {
-                    // Nobody listens any more only when the process ends.
+                    // The receiver is dropped only when the process ends.
                     let _ = self.inspections.send(Inspection { service, upstream, address });
                 }
-                Effect::Begun(life) => {
+                Effect::Begun(upstream) => {
                     self.metrics.count("upstream-reborn");
-                    tracing::info!(upstream = %life, "an upstream came back under its name; nothing is believed of its earlier life");
+                    tracing::info!(%upstream, "an upstream came back under its name; nothing is believed of its earlier life");
                 }
                 Effect::Over(attempt) => {
                     if let Some(over) = self.running().get(&attempt) {
@@ -259,7 +260,7 @@
                     for region in
                         table.regions().filter(|region| self.settings.zones_of(&[(*region).clone()]).is_empty())
                     {
-                        tracing::warn!(%region, "no zone lies in this region; what is kept to it alone is refused");
+                        tracing::warn!(%region, "no zone lies in this region; requests restricted to it are refused");
                     }
                     self.table.store(table);
                     self.configured.send_replace(true);
@@ -288,7 +289,7 @@
                     let for_s = length.as_secs();
                     tracing::warn!(%service, %fingerprint, for_s, "upstreams end under a request, which goes nowhere now");
                     let since = self.now();
-                    // Nobody writes any more only when the process ends.
+                    // The receiver is dropped only when the process ends.
                     let _ = self.quarantines.send(Term { fingerprint, length, since });
                 }
                 Effect::Leaves(upstream) => {
@@ -301,7 +302,7 @@
                 }
                 Effect::Unreadable(upstream) => {
                     self.metrics.count("upstream-rest-unreadable");
-                    tracing::info!(%upstream, "an upstream wants rest, for a time that can't be read");
+                    tracing::info!(%upstream, "an upstream asked for a rest whose length can't be parsed");
                 }
                 Effect::Lost(router) => {
                     tracing::info!(peer = %router, "a router is gone");
@@ -312,11 +313,12 @@
     }
 
     fn record(&self, due: Due) {
-        // Nobody writes any more only when the process ends.
+        // The receiver is dropped only when the process ends.
         let _ = self.records.send(due);
     }
 
-    /// Sends a frame to a peer. A request that asks a home which can't be reached needn't wait for its answer.
+    /// Sends a frame to a peer. If it is an ask and the home can't be reached, the request is notified at once
+    /// instead of waiting for an answer.
     fn send(&self, to: &id::Router, address: SocketAddr, frame: &Frame) {
         let sent = self.send_written(to, address, frame, Links::<Frame, Inbox>::write(frame));
         if let Frame::Ask { ask, .. } = frame
@@ -324,12 +326,13 @@
         {
             waiter.home = Some(to.clone());
             if !sent {
-                waiter.tell(Reply::Decided(None));
+                waiter.send(Reply::Decided(None));
             }
         }
     }
 
-    /// Sends a frame that is written already, unless it is too large; `false` if the peer can't be reached now.
+    /// Sends a frame that is already encoded; `false` if the peer can't be reached now or the frame was too large to
+    /// encode.
     fn send_written(&self, to: &id::Router, address: SocketAddr, frame: &Frame, bytes: Option<Bytes>) -> bool {
         let size = bytes.as_ref().map_or(0, Bytes::len);
         let sent = bytes.is_some_and(|bytes| self.links.send_written(to, address, bytes));
@@ -341,27 +344,27 @@
         sent
     }
 
-    /// An upstream said something of itself in an answer.
+    /// Handles the notice in an upstream's answer.
     pub fn hear(&self, service: &id::Service, upstream: &id::Upstream, notice: Notice) {
         if notice != Notice::default() {
             self.with(|core, now| core.hear(now, service, upstream, notice));
         }
     }
 
-    /// Counts what passed between this router and an upstream.
+    /// Counts bytes that passed between this router and an upstream.
     pub fn passed(&self, kind: Kind, permit: &Permit, bytes: usize) {
         self.metrics.traffic.count(kind, Some(&permit.upstream.zone), bytes);
     }
 
-    /// Counts what goes to a peer.
+    /// Counts bytes that are sent to a peer.
     fn count_to(&self, kind: Kind, to: SocketAddr, bytes: usize) {
         self.metrics.traffic.count_to(kind, to, bytes, || self.look(|core, _| core.zone_at(to)));
     }
 
-    /// The stream to a peer broke: what was asked of it is asked of others.
-    fn unanswered(&self, home: &id::Router) {
+    /// Fails the asks that a peer hasn't answered after the stream to it broke, so that they are sent to other homes.
+    fn fail_pending_asks(&self, home: &id::Router) {
         for waiter in self.waiting().values().filter(|waiter| waiter.home.as_ref() == Some(home)) {
-            waiter.tell(Reply::Decided(None));
+            waiter.send(Reply::Decided(None));
         }
     }
 
