--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -339,7 +339,7 @@
     }
 
     pub(super) fn send(&self, to: &id::Router, frame: Frame) -> Vec<Effect> {
-        // A peer that was never heard from may not be running, and opening a stream to it would only block.
+        // A peer that has never responded may not be running, and opening a stream to it would only block.
         let Some(peer) = self.swim.peer(to).filter(|peer| has_responded(peer)) else {
             return Vec::new();
         };
--- a/crates/stairvale-serve/src/core/home.rs
+++ b/crates/stairvale-serve/src/core/home.rs
@@ -90,8 +90,8 @@
         effects
     }
 
-    /// For each service that this router is home of: the counts of the `most` largest customers, and the total of all
-    /// others.
+    /// For each service that this router is home of: the counts of the `max_named` largest customers, and the total
+    /// of all others.
     pub fn customers(&self, max_named: usize) -> impl Iterator<Item = (&id::Service, Named, Counts)> {
         self.pools.iter().map(move |(service, pool)| {
             let (named, others) = pool.shares().counts(max_named);
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -134,7 +134,7 @@
     watcher_since: Option<Moment>,
     /// The time of the first tick.
     started_at: Option<Moment>,
-    /// Whether a peer that knows the whole fleet has sent its list of members.
+    /// Whether a peer that knows the whole fleet has answered a sync request, with the members that this router lacks.
     learned_fleet: bool,
     leaving: bool,
 }
--- a/crates/stairvale-serve/src/core/roles.rs
+++ b/crates/stairvale-serve/src/core/roles.rs
@@ -51,7 +51,7 @@
         pick(key, self.home_candidates.iter().map(|(hash, router)| (*hash, router)))
     }
 
-    /// Whether `is` holds for any home candidate.
+    /// Whether `matches` holds for any home candidate.
     pub(super) fn any_home(&self, mut matches: impl FnMut(&id::Router) -> bool) -> bool {
         self.home_candidates.iter().any(|(_, router)| matches(router))
     }
--- a/crates/stairvale-serve/src/permit.rs
+++ b/crates/stairvale-serve/src/permit.rs
@@ -40,7 +40,7 @@
     since: Moment,
     outcome: Outcome,
     took: Option<Duration>,
-    over: Arc<Notify>,
+    replaced: Arc<Notify>,
 }
 
 impl Permit {
@@ -63,7 +63,7 @@
 
     /// Waits until the upstream was replaced by another incarnation under the same name.
     pub async fn life_over(&self) {
-        self.over.notified().await;
+        self.replaced.notified().await;
     }
 
     /// The time since the permit was granted.
@@ -183,9 +183,19 @@
                     let rests = |source: &id::Upstream| core.rest(now, want.service, source).is_some();
                     (now, source.filter(|source| !rests(source)).and_then(|source| core.address(&source)))
                 });
-                let over = shared.register_running(attempt);
+                let replaced = shared.register_running(attempt);
                 let (shared, outcome) = (shared.clone(), Outcome::Abandoned);
-                return Ok(Permit { shared, attempt, upstream: entry, read, source, since, outcome, took: None, over });
+                return Ok(Permit {
+                    shared,
+                    attempt,
+                    upstream: entry,
+                    read,
+                    source,
+                    since,
+                    outcome,
+                    took: None,
+                    replaced,
+                });
             }
             Some(Verdict::Refused(refusal)) => {
                 pending.open = false;
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -209,9 +209,9 @@
 
     /// Registers a running request; the result is notified when its upstream was replaced by another incarnation.
     pub fn register_running(&self, attempt: id::Attempt) -> Arc<Notify> {
-        let over: Arc<Notify> = Arc::default();
-        self.running().insert(attempt, over.clone());
-        over
+        let replaced: Arc<Notify> = Arc::default();
+        self.running().insert(attempt, replaced.clone());
+        replaced
     }
 
     /// Removes a request that has ended from the running ones.
@@ -251,8 +251,8 @@
                     tracing::info!(%upstream, "an upstream came back under its name; nothing is believed of its earlier life");
                 }
                 Effect::Over(attempt) => {
-                    if let Some(over) = self.running().get(&attempt) {
-                        over.notify_one();
+                    if let Some(replaced) = self.running().get(&attempt) {
+                        replaced.notify_one();
                     }
                 }
                 Effect::Configured(table) => {
