--- a/crates/stairvale-serve/src/core/naming.rs
+++ b/crates/stairvale-serve/src/core/naming.rs
@@ -35,14 +35,14 @@
         self.started_at.map_or(Duration::ZERO, |born| now.since(born))
     }
 
-    /// Whether this router knows the number of routers: a peer that knows it has answered a sync request, this router is
-    /// the only one, or the time to wait for answers has passed.
+    /// Whether this router knows the number of routers: a peer that knows it has answered a sync request, this router
+    /// is the only one, or the time to wait for answers has passed.
     pub(super) fn knows_fleet(&self, now: Moment) -> bool {
         self.learned_fleet || self.swim.is_alone() || self.uptime(now) >= JOIN_TIMEOUT
     }
 
-    /// Whether this router knows enough peers to do work for them: it has read the registrations, it is the only router,
-    /// or the time to wait for answers has passed.
+    /// Whether this router knows enough peers to do work for them: it has read the registrations, it is the only
+    /// router, or the time to wait for answers has passed.
     pub(super) fn has_discovered_peers(&self, now: Moment) -> bool {
         self.view.routers().next().is_some() || self.swim.is_alone() || self.uptime(now) >= JOIN_TIMEOUT
     }
