--- a/crates/stairvale-serve/tests/core.rs
+++ b/crates/stairvale-serve/tests/core.rs
@@ -1,4 +1,4 @@
-//! Several routers and a store, through cuts, kills and stops: what each believes, and how soon.
+//! Several routers and a store under partitions, kills and shutdowns: which state each router has, and how soon.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,210 +8,211 @@
 use stairvale_replica::State;
 use world::World;
 
-/// Time for routers to find each other and to be named, in ms.
-const SETTLE: u64 = 6_000;
+/// Time for routers to find each other and to be registered in the store, in ms.
+const SETTLE_MS: u64 = 6_000;
 
 fn settled(routers: usize, zones: usize, engines: usize) -> World {
     let mut world = World::new(routers, zones, engines);
-    world.run(SETTLE);
+    world.run(SETTLE_MS);
     world
 }
 
-fn notice(world: &World) -> u64 {
+/// The time within which routers have to get a change of the store, in ms.
+fn notice_ms(world: &World) -> u64 {
     u64::try_from(world.bounds.notice().as_millis()).unwrap()
 }
 
-/// Routers that read the store within some time.
-fn readers(world: &mut World, millis: u64) -> Vec<usize> {
-    let before: Vec<_> = world.nodes.iter().map(|node| node.reads).collect();
+/// Advances the time, in ms, and returns the routers that began to read the store meanwhile.
+fn run_for_readers(world: &mut World, millis: u64) -> Vec<usize> {
+    let before: Vec<_> = world.nodes.iter().map(|node| node.watch_calls).collect();
     world.run(millis);
-    (0..world.nodes.len()).filter(|index| world.nodes[*index].reads > before[*index]).collect()
+    (0..world.nodes.len()).filter(|index| world.nodes[*index].watch_calls > before[*index]).collect()
 }
 
-/// Long enough for whoever reads the store to do so.
-const READ: u64 = 450;
+/// Time within which a router that is responsible for reading the store begins a call, in ms.
+const READ_MS: u64 = 450;
 
 #[test]
-fn in_calm_times_one_router_of_the_fleet_reads_the_store() {
+fn one_router_reads_the_store_while_nothing_changes() {
     let mut world = settled(9, 3, 6);
-    let reader = readers(&mut world, READ);
+    let reader = run_for_readers(&mut world, READ_MS);
     assert_eq!(reader.len(), 1);
-    assert_eq!(readers(&mut world, 10_000), reader);
+    assert_eq!(run_for_readers(&mut world, 10_000), reader);
 }
 
 #[test]
-fn a_zone_that_is_cut_off_from_the_reader_learns_in_time() {
+fn a_zone_partitioned_from_the_reader_gets_changes_in_time() {
     let mut world = settled(9, 3, 6);
-    let reader = readers(&mut world, READ)[0];
-    let ways = (0..9).flat_map(|a| (0..9).map(move |b| (a, b))).filter(|(a, b)| a % 3 != b % 3);
-    for (a, b) in ways {
+    let reader = run_for_readers(&mut world, READ_MS)[0];
+    let links = (0..9).flat_map(|a| (0..9).map(move |b| (a, b))).filter(|(a, b)| a % 3 != b % 3);
+    for (a, b) in links {
         world.set_cut(a, b, true);
     }
     world.run(50);
     world.put_engine(0, 0, Some(State::Draining));
     world.configure();
-    // One router of each other zone reads, so that the others needn't.
-    let bound = notice(&world);
-    let others = readers(&mut world, bound - 600).into_iter().filter(|index| index % 3 != reader % 3).count();
+    // Only one router of each other zone reads the store; the zone's other routers get the changes from it.
+    let bound = notice_ms(&world);
+    let others = run_for_readers(&mut world, bound - 600).into_iter().filter(|index| index % 3 != reader % 3).count();
     assert_eq!(others, 2);
     for index in 0..9 {
-        assert!(!world.usable(index, 0), "router {index}");
-        assert_eq!(world.version(index), world.versions.last().unwrap().0, "router {index}");
+        assert!(!world.is_usable(index, 0), "router {index}");
+        assert_eq!(world.version(index), world.config_versions.last().unwrap().0, "router {index}");
     }
 }
 
 #[test]
-fn when_the_reader_is_killed_the_next_one_reads() {
+fn another_router_reads_after_the_reader_is_killed() {
     let mut world = settled(9, 3, 6);
-    let reader = readers(&mut world, READ)[0];
+    let reader = run_for_readers(&mut world, READ_MS)[0];
     world.kill(reader);
     world.run(50);
     world.put_engine(0, 0, Some(State::Draining));
-    let bound = notice(&world);
+    let bound = notice_ms(&world);
     world.run(bound - 100);
     for index in (0..9).filter(|index| *index != reader) {
-        assert!(!world.usable(index, 0), "router {index}");
+        assert!(!world.is_usable(index, 0), "router {index}");
     }
     world.run(4_000);
-    assert_eq!(readers(&mut world, 5_000).len(), 1);
+    assert_eq!(run_for_readers(&mut world, 5_000).len(), 1);
 }
 
 #[test]
-fn a_change_is_known_everywhere_at_once() {
+fn a_change_reaches_all_routers_within_100_ms() {
     let mut world = settled(9, 3, 6);
     world.configure();
     world.put_engine(0, 0, Some(State::Draining));
     world.run(100);
-    let version = world.versions.last().unwrap().0;
+    let version = world.config_versions.last().unwrap().0;
     for index in 0..9 {
         assert_eq!(world.version(index), version);
-        assert!(!world.usable(index, 0));
+        assert!(!world.is_usable(index, 0));
     }
 }
 
 #[test]
-fn routers_whose_watcher_is_cut_from_the_store_learn_in_time() {
+fn routers_get_changes_in_time_without_the_watchers_store_access() {
     let mut world = settled(9, 3, 6);
-    let bound = notice(&world);
-    // First the fleet's reader, then those who took its place, too.
-    let mut cut = readers(&mut world, READ);
+    let bound = notice_ms(&world);
+    // First the fleet's reader loses the store, then also the routers that took over reading.
+    let mut cut = run_for_readers(&mut world, READ_MS);
     for engine in 0..2 {
         for reader in &cut {
             world.set_store_cut(*reader, true);
         }
         world.run(50);
         world.put_engine(engine, 0, Some(State::Draining));
-        cut = readers(&mut world, bound - 100);
+        cut = run_for_readers(&mut world, bound - 100);
         for index in 0..9 {
-            assert!(!world.usable(index, engine), "router {index}, engine {engine}, cut {cut:?}");
+            assert!(!world.is_usable(index, engine), "router {index}, engine {engine}, cut {cut:?}");
         }
     }
 }
 
 #[test]
-fn routers_that_read_for_themselves_do_not_tell_all_others() {
+fn routers_that_read_the_store_themselves_do_not_broadcast() {
     let mut world = settled(12, 1, 6);
-    let reader = readers(&mut world, READ)[0];
+    let reader = run_for_readers(&mut world, READ_MS)[0];
     world.set_store_cut(reader, true);
-    assert!(readers(&mut world, 1_500).len() > 6);
-    world.told = 0;
+    assert!(run_for_readers(&mut world, 1_500).len() > 6);
+    world.update_frames = 0;
     world.configure();
     world.run(500);
-    assert!((0..12).all(|index| world.version(index) == world.versions.last().unwrap().0));
-    assert!(world.told <= 2 * 12, "{} frames with changes", world.told);
+    assert!((0..12).all(|index| world.version(index) == world.config_versions.last().unwrap().0));
+    assert!(world.update_frames <= 2 * 12, "{} frames with changes", world.update_frames);
 }
 
 #[test]
-fn an_entry_that_goes_is_gone_in_time_though_other_routers_are_cut_off() {
+fn a_removed_entry_is_unusable_in_time_while_a_router_cannot_reach_the_store() {
     let mut world = settled(9, 3, 6);
-    let cut = readers(&mut world, READ)[0];
+    let cut = run_for_readers(&mut world, READ_MS)[0];
     world.set_store_cut(cut, true);
     world.run(2_500);
     world.put_engine(0, 0, None);
-    let bound = notice(&world);
+    let bound = notice_ms(&world);
     world.run(bound - 100);
     for index in (0..9).filter(|index| *index != cut) {
-        assert!(!world.usable(index, 0), "router {index}");
+        assert!(!world.is_usable(index, 0), "router {index}");
     }
 }
 
 #[test]
-fn a_router_without_any_way_to_the_store_stops_trusting_keys_and_comes_back() {
+fn an_isolated_router_stops_accepting_keys_and_recovers() {
     let mut world = settled(4, 2, 2);
     world.set_store_cut(0, true);
     for other in 1..4 {
         world.set_cut(0, other, true);
     }
     world.run(world.bounds.revoke_ms);
-    assert!(!world.trusts(0));
-    assert!(!world.nodes[0].core.is_ready(world.local(0)));
-    assert!((1..4).all(|index| world.trusts(index)));
+    assert!(!world.trusts_keys(0));
+    assert!(!world.nodes[0].core.is_ready(world.local_time(0)));
+    assert!((1..4).all(|index| world.trusts_keys(index)));
     world.set_store_cut(0, false);
     world.run(2_500);
-    assert!(world.trusts(0));
+    assert!(world.trusts_keys(0));
 }
 
 #[test]
-fn a_router_that_only_the_store_turned_away_hears_from_its_peers() {
+fn a_router_without_store_access_gets_changes_from_peers() {
     let mut world = settled(4, 2, 2);
     world.set_store_cut(0, true);
     world.run(2 * world.bounds.revoke_ms);
     world.configure();
     world.run(1_000);
-    assert!(world.trusts(0));
-    assert_eq!(world.version(0), world.versions.last().unwrap().0);
+    assert!(world.trusts_keys(0));
+    assert_eq!(world.version(0), world.config_versions.last().unwrap().0);
 }
 
 #[test]
-fn when_the_home_is_killed_requests_are_placed_elsewhere() {
+fn requests_are_placed_by_another_router_after_the_home_is_killed() {
     let mut world = settled(5, 1, 3);
-    let home = world.ask(1, 1, &[(1, 100), (2, 10)]);
+    let home = world.request_permit(1, 1, &[(1, 100), (2, 10)]);
     world.run(50);
     assert!(world.granted(1, 1).is_some());
-    let home = world.index(&home);
+    let home = world.index_of(&home);
     let entry = (home + 1) % 5;
     world.kill(home);
     world.run(3_000);
-    let next = world.ask(entry, 2, &[(1, 100), (3, 10)]);
-    assert_ne!(world.index(&next), home);
+    let next = world.request_permit(entry, 2, &[(1, 100), (3, 10)]);
+    assert_ne!(world.index_of(&next), home);
     world.run(50);
     assert!(world.granted(entry, 2).is_some());
 }
 
 #[test]
-fn a_new_home_knows_at_once_what_runs() {
+fn a_new_home_gets_the_running_requests_at_once() {
     let mut world = settled(5, 1, 4);
-    let home = world.ask(0, 0, &[]);
-    let home = world.index(&home);
+    let home = world.request_permit(0, 0, &[]);
+    let home = world.index_of(&home);
     let entries: Vec<_> = (0..5).filter(|index| *index != home).collect();
     for (number, entry) in (1..).zip(&entries) {
         world.hold(*entry, number, &[(100, 10)]);
     }
-    let now = world.local(home);
+    let now = world.local_time(home);
     let effects = world.nodes[home].core.leave(now);
     world.perform(home, effects);
     world.run(100);
-    let next = world.ask(entries[0], 100, &[]);
-    let next = world.index(&next);
+    let next = world.request_permit(entries[0], 100, &[]);
+    let next = world.index_of(&next);
     world.run(20);
     let running = world.nodes[next].core.running_at_home(&"chat".parse().unwrap());
-    // The four, and the one that was asked for just now.
+    // The four held requests, and the one that was requested last.
     assert_eq!(running, 5);
 }
 
 #[test]
-fn the_next_home_knows_what_engines_hold() {
+fn the_successor_has_the_prefix_caches_of_engines() {
     for stops in [true, false] {
         let mut world = settled(5, 1, 4);
         let prompts: Vec<[(u64, u32); 2]> = (0..20).map(|n| [(100 + n, 3_000), (1_000 + n, 20)]).collect();
-        let home = world.ask(0, 0, &[]);
-        let home = world.index(&home);
+        let home = world.request_permit(0, 0, &[]);
+        let home = world.index_of(&home);
         let entry = (home + 1) % 5;
         let places: Vec<_> =
             (1..).zip(&prompts).map(|(number, prompt)| world.serve(entry, number, prompt).unwrap()).collect();
         world.run(1_000);
         if stops {
-            let now = world.local(home);
+            let now = world.local_time(home);
             let effects = world.nodes[home].core.leave(now);
             world.perform(home, effects);
         } else {
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn the_engines_of_a_zone_are_used_though_its_only_router_was_killed() {
+fn engines_are_used_after_the_only_router_of_their_zone_is_killed() {
     let mut world = settled(4, 3, 0);
     world.put_engine(1, 1, Some(State::Ready));
     world.run(200);
@@ -242,35 +243,35 @@
 }
 
 #[test]
-fn a_home_that_nobody_told_inspects_each_engine_once() {
+fn a_home_without_reports_inspects_each_engine_once() {
     let mut world = settled(1, 1, 4);
     for number in 0..5 {
-        world.ask(0, number, &[(1, 100), (2, 10)]);
+        world.request_permit(0, number, &[(1, 100), (2, 10)]);
         world.run(50);
     }
     assert_eq!(world.nodes[0].inspected.len(), 4);
 }
 
 #[test]
-fn routers_that_the_store_names_find_each_other_at_once() {
+fn routers_registered_in_the_store_find_each_other_within_100_ms() {
     let mut world = World::new(6, 1, 4);
     for index in 0..6 {
-        world.name_router(index);
+        world.register_router(index);
     }
     world.run(100);
     assert!(world.nodes.iter().all(|node| node.core.routers() == 6));
 }
 
 #[test]
-fn after_all_were_killed_one_home_inspects_the_engines() {
+fn one_home_inspects_the_engines_after_a_full_restart() {
     let mut world = World::new(6, 1, 4);
     for index in 0..6 {
-        world.name_router(index);
+        world.register_router(index);
     }
     world.run(100);
     for index in 0..6 {
         for number in 0..3 {
-            world.ask(index, 10 * index as u128 + number, &[(1, 100), (2, 10)]);
+            world.request_permit(index, 10 * index as u128 + number, &[(1, 100), (2, 10)]);
         }
     }
     world.run(100);
@@ -279,11 +280,11 @@
 }
 
 #[test]
-fn a_home_inspects_before_weak_routers_have_started() {
+fn a_home_inspects_engines_before_weak_routers_have_started() {
     let strengths = (0..8).map(|index| if index >= 6 { 50 } else { 12 }).collect();
     let mut world = World::with_strengths(strengths, 2, 4);
     for index in 0..8 {
-        world.name_router(index);
+        world.register_router(index);
     }
     for weak in 0..6 {
         world.kill(weak);
@@ -294,15 +295,15 @@
 }
 
 #[test]
-fn a_router_that_stands_in_for_a_silent_home_inspects_nothing() {
+fn a_stand_in_for_an_unresponsive_home_inspects_nothing() {
     let mut world = settled(5, 1, 4);
-    let home = world.ask(0, 1, &[(1, 100), (2, 10)]);
-    let home = world.index(&home);
+    let home = world.request_permit(0, 1, &[(1, 100), (2, 10)]);
+    let home = world.index_of(&home);
     for index in (0..5).filter(|index| *index != home) {
-        world.ask_self(index, 100 + index as u128, &[(1, 100), (2, 10)]);
-        // Another one passes the home over, and asks the next one.
-        world.distrust(index, home);
-        world.ask(index, 200 + index as u128, &[(1, 100), (2, 10)]);
+        world.decide_locally(index, 100 + index as u128, &[(1, 100), (2, 10)]);
+        // The router also sends a request to the successor, since the home counts as unresponsive.
+        world.mark_unresponsive(index, home);
+        world.request_permit(index, 200 + index as u128, &[(1, 100), (2, 10)]);
         world.run(50);
     }
     let inspected: Vec<_> = world.nodes.iter().map(|node| node.inspected.len()).collect();
@@ -315,72 +316,72 @@
     let strengths = (0..8).map(|index| if index % 4 == 3 { 50 } else { 12 }).collect();
     let mut world = World::with_strengths(strengths, 2, 4);
     for index in 0..8 {
-        world.name_router(index);
+        world.register_router(index);
     }
     world.run(500);
     for entry in 0..8 {
-        let home = world.ask(entry, entry as u128, &[]);
-        assert_eq!(world.index(&home) % 4, 3, "asked by {entry}");
+        let home = world.request_permit(entry, entry as u128, &[]);
+        assert_eq!(world.index_of(&home) % 4, 3, "home of router {entry}");
     }
-    // Without them any router will do.
+    // When all strong routers are gone, a weak one becomes home.
     world.kill(3);
     world.kill(7);
     world.run(3_000);
-    let home = world.ask(0, 100, &[]);
-    assert_ne!(world.index(&home) % 4, 3);
+    let home = world.request_permit(0, 100, &[]);
+    assert_ne!(world.index_of(&home) % 4, 3);
 }
 
 #[test]
-fn the_strongest_routers_of_a_zone_read_the_store_for_it() {
+fn strong_routers_are_watchers() {
     let strengths = (0..8).map(|index| if index >= 6 { 50 } else { 12 }).collect();
     let mut world = World::with_strengths(strengths, 2, 4);
     for index in 0..8 {
-        world.name_router(index);
+        world.register_router(index);
     }
     world.run(2_000);
-    let reader = readers(&mut world, 2_000);
+    let reader = run_for_readers(&mut world, 2_000);
     assert!(reader == [6] || reader == [7], "{reader:?}");
-    // Each zone's watcher reads when the fleet's reader keeps it waiting.
+    // The other zone's watcher reads when it gets no changes from the fleet's reader in time.
     world.kill(reader[0]);
-    let next = readers(&mut world, 1_400);
+    let next = run_for_readers(&mut world, 1_400);
     let same = |index: &usize| index % 2 != reader[0] % 2;
     assert_eq!(next.into_iter().filter(same).collect::<Vec<_>>(), [13 - reader[0]]);
 }
 
 #[test]
-fn the_fleet_agrees_on_its_next_reader_and_keeps_to_it() {
-    // Whenever in the reader's call it is killed.
+fn the_fleet_agrees_on_its_next_reader_and_keeps_it() {
+    // The reader is killed at different moments of its call.
     for phase in 0..8 {
         let mut world = settled(8, 2, 4);
         world.run(phase * 50);
-        let killed = readers(&mut world, READ)[0];
-        let before: usize = world.nodes.iter().map(|node| node.reads).sum();
+        let killed = run_for_readers(&mut world, READ_MS)[0];
+        let before: usize = world.nodes.iter().map(|node| node.watch_calls).sum();
         world.kill(killed);
-        // Until its death is confirmed.
+        // The time until the reader is declared dead.
         world.run(3_000);
-        let calls = world.nodes.iter().map(|node| node.reads).sum::<usize>() - before;
+        let calls = world.nodes.iter().map(|node| node.watch_calls).sum::<usize>() - before;
         assert!(calls <= 16, "{calls} calls, phase {phase}");
-        let next = readers(&mut world, 10_000);
+        let next = run_for_readers(&mut world, 10_000);
         assert_eq!(next.len(), 1, "{next:?}, phase {phase}");
     }
 }
 
 #[test]
-fn a_router_that_stops_is_nobodys_home() {
+fn a_leaving_router_is_not_used_as_home() {
     let mut world = settled(3, 1, 2);
-    let home = world.ask(0, 1, &[]);
-    let index = world.index(&home);
-    let now = world.local(index);
+    let home = world.request_permit(0, 1, &[]);
+    let index = world.index_of(&home);
+    let now = world.local_time(index);
     let effects = world.nodes[index].core.leave(now);
     world.perform(index, effects);
     world.run(500);
     let entry = (index + 1) % 3;
-    assert_ne!(world.ask(entry, 2, &[]), home);
+    assert_ne!(world.request_permit(entry, 2, &[]), home);
 }
 
-/// Trouble that comes and goes.
+/// A step of a random run: a fault, its end, a new configuration or a pause.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Step {
     Cut(u8, u8, bool),
     StoreCut(u8, bool),
     Kill(u8),
@@ -389,7 +390,7 @@
     Wait(u16),
 }
 
-impl Arbitrary for Trouble {
+impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let (a, b, on) = (u8::arbitrary(g) % 5, u8::arbitrary(g) % 5, bool::arbitrary(g));
         match u8::arbitrary(g) % 8 {
@@ -403,36 +404,37 @@
     }
 }
 
-/// A router whose keys count has every version that was acknowledged longer ago than keys may outlive their end, and
-/// within one life its version only rises.
-fn keys_are_safe(troubles: &[Trouble]) -> bool {
+/// Whether the following holds after each step: a router that accepts keys has every version that the store acknowledged longer
+/// ago than the bound for revoked keys, and its version doesn't fall within one incarnation.
+fn revocation_holds(steps: &[Step]) -> bool {
     let mut world = settled(5, 2, 2);
     let mut highest = [0; 5];
     let mut dead = [false; 5];
-    for trouble in troubles {
-        match *trouble {
-            Trouble::Cut(a, b, on) if a != b => world.set_cut(usize::from(a), usize::from(b), on),
-            Trouble::Cut(..) => {}
-            Trouble::StoreCut(a, on) => world.set_store_cut(usize::from(a), on),
-            Trouble::Kill(a) => {
+    for step in steps {
+        match *step {
+            Step::Cut(a, b, on) if a != b => world.set_cut(usize::from(a), usize::from(b), on),
+            Step::Cut(..) => {}
+            Step::StoreCut(a, on) => world.set_store_cut(usize::from(a), on),
+            Step::Kill(a) => {
                 world.kill(usize::from(a));
                 dead[usize::from(a)] = true;
             }
-            Trouble::Start(a) => {
+            Step::Start(a) => {
                 if dead[usize::from(a)] {
                     world.start(usize::from(a), 2);
                     dead[usize::from(a)] = false;
                     highest[usize::from(a)] = 0;
                 }
             }
-            Trouble::Configure => world.configure(),
-            Trouble::Wait(millis) => world.run(u64::from(millis)),
+            Step::Configure => world.configure(),
+            Step::Wait(millis) => world.run(u64::from(millis)),
         }
         for index in (0..5).filter(|index| !dead[*index]) {
             let version = world.version(index);
             let revoke = world.bounds.revoke_ms;
-            let due = world.versions.iter().filter(|(_, at)| at + revoke <= world.now).map(|(version, _)| *version);
-            if world.trusts(index) && due.max().unwrap_or(0) > version || version < highest[index] {
+            let due =
+                world.config_versions.iter().filter(|(_, at)| at + revoke <= world.now).map(|(version, _)| *version);
+            if world.trusts_keys(index) && due.max().unwrap_or(0) > version || version < highest[index] {
                 return false;
             }
             highest[index] = version;
@@ -442,18 +444,19 @@
 }
 
 quickcheck! {
-    fn keys_are_safe_through_any_trouble(troubles: Vec<Trouble>) -> bool {
-        keys_are_safe(&troubles)
+    fn key_revocation_holds_through_any_faults(steps: Vec<Step>) -> bool {
+        revocation_holds(&steps)
     }
 }
 
 #[test]
-fn a_router_that_comes_back_from_a_cut_learns_in_time_that_an_entry_went() {
-    // Whoever it is, and whenever the entry goes after the cut: whether it reads that itself or is told.
+fn a_router_back_from_a_partition_gets_a_removal_in_time() {
+    // For each router, and for different times between the end of the partition and the removal, so that the router reads the
+    // removal itself in some runs and gets it from a peer in others.
     for router in 0..9 {
         for after in [50, 400, 900, 1_500] {
             let mut world = settled(9, 3, 6);
-            let bound = notice(&world);
+            let bound = notice_ms(&world);
             for other in (0..9).filter(|other| *other != router) {
                 world.set_cut(router, other, true);
             }
@@ -468,8 +471,8 @@
             world.run(bound + 2_500);
             for index in 0..9 {
                 assert!(
-                    !world.usable(index, 0),
-                    "router {index}, {router} was cut off, the entry went {after} ms after that"
+                    !world.is_usable(index, 0),
+                    "router {index}; router {router} was partitioned, the entry was removed {after} ms after that"
                 );
             }
         }
@@ -477,35 +480,35 @@
 }
 
 #[test]
-fn routers_that_come_back_from_a_cut_together_learn_in_time_that_an_entry_went() {
+fn routers_back_from_a_partition_get_a_removal_in_time() {
     for first in 0..6 {
         let strengths = (0..60).map(|index| if index < 15 { 50 } else { 12 }).collect();
         let mut world = World::with_strengths(strengths, 5, 6);
-        world.run(SETTLE);
+        world.run(SETTLE_MS);
         let cut: Vec<_> = (0..60).filter(|index| (index * 7 + first * 3) % 10 < 3).collect();
-        let ways = || cut.iter().flat_map(|a| (0..60).map(move |b| (*a, b))).filter(|(_, b)| !cut.contains(b));
-        ways().for_each(|(a, b)| world.set_cut(a, b, true));
+        let links = || cut.iter().flat_map(|a| (0..60).map(move |b| (*a, b))).filter(|(_, b)| !cut.contains(b));
+        links().for_each(|(a, b)| world.set_cut(a, b, true));
         cut.iter().for_each(|index| world.set_store_cut(*index, true));
         world.run(8_000);
-        ways().for_each(|(a, b)| world.set_cut(a, b, false));
+        links().for_each(|(a, b)| world.set_cut(a, b, false));
         cut.iter().for_each(|index| world.set_store_cut(*index, false));
         world.run(1_300);
         world.put_engine(0, 0, None);
-        let bound = notice(&world);
+        let bound = notice_ms(&world);
         world.run(bound);
-        let late: Vec<_> = (0..60).filter(|index| world.usable(*index, 0)).collect();
-        assert!(late.is_empty(), "{late:?}, of which were cut off: {cut:?}");
+        let late: Vec<_> = (0..60).filter(|index| world.is_usable(*index, 0)).collect();
+        assert!(late.is_empty(), "late: {late:?}; partitioned: {cut:?}");
     }
 }
 
 #[test]
-fn a_home_tells_once_that_a_customer_surges_and_once_that_it_no_longer_does() {
+fn a_home_reports_the_start_and_the_end_of_a_surplus_once() {
     let mut world = settled(2, 1, 1);
-    let home = world.ask(0, 1, &[]);
-    let home = world.index(&home);
-    // More than one engine runs, none of which has a customer's name.
+    let home = world.request_permit(0, 1, &[]);
+    let home = world.index_of(&home);
+    // More requests than one engine runs; none of them names a customer.
     for number in 2..200 {
-        world.ask(home, number, &[]);
+        world.request_permit(home, number, &[]);
     }
     world.run(60);
     assert_eq!(world.surpluses, [true]);
--- a/crates/stairvale-serve/tests/evacuation.rs
+++ b/crates/stairvale-serve/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! Zones that are emptied and taken back, and engines that come back cold: in force everywhere in time, whatever else happens.
+//! Zones that are evacuated and taken back into use, and engines that come back cold: changes take effect at all routers in time,
+//! also under faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,23 +11,23 @@
 use stairvale_table::Cold;
 use world::World;
 
-/// Time for routers to find each other and to be named, in ms.
-const SETTLE: u64 = 6_000;
-/// Engines of these worlds; each zone has a third.
+/// Time for routers to find each other and to be registered in the store, in ms.
+const SETTLE_MS: u64 = 6_000;
+/// The number of engines; each of the three zones has a third of them.
 const ENGINES: usize = 9;
 
 fn settled() -> World {
     let mut world = World::new(9, 3, ENGINES);
-    world.run(SETTLE);
+    world.run(SETTLE_MS);
     world
 }
 
-/// Whether a router may send something to an engine of a zone.
+/// Whether a router may send new requests to any engine of a zone.
 fn uses(world: &World, router: usize, zone: usize) -> bool {
-    (0..ENGINES).filter(|engine| engine % 3 == zone).any(|engine| world.usable(router, engine))
+    (0..ENGINES).filter(|engine| engine % 3 == zone).any(|engine| world.is_usable(router, engine))
 }
 
-/// Engines that a service's home grants to so many requests.
+/// The engines that `count` requests are granted, sent one after the other; `None` for a refused one.
 fn places(world: &mut World, router: usize, from: u128, count: u128) -> Vec<Option<String>> {
     (from..from + count)
         .map(|number| {
@@ -36,13 +37,13 @@
         .collect()
 }
 
-/// The zone of an engine, by its name.
+/// The zone of the engine with this name.
 fn zone(engine: &str) -> usize {
     engine[1..].parse::<usize>().unwrap() % 3
 }
 
 #[test]
-fn an_evacuation_is_in_force_everywhere_and_taken_back() {
+fn an_evacuation_takes_effect_at_all_routers_and_is_reverted() {
     let mut world = settled();
     for round in 0..2 {
         world.evacuate(1, true);
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn an_evacuation_holds_while_the_store_is_away_and_after_its_history_is_lost() {
+fn an_evacuation_survives_a_store_outage_and_a_compaction() {
     let mut world = settled();
     world.evacuate(1, true);
     world.run(100);
@@ -65,21 +66,21 @@
     world.run(5_000);
     assert!((0..9).all(|router| !uses(&world, router, 1)));
     world.set_store_down(false);
-    world.forget_history();
+    world.compact_store();
     world.run(3_000);
     assert!((0..9).all(|router| !uses(&world, router, 1)));
     world.set_store_down(true);
     world.run(1_000);
     world.evacuate(1, false);
     world.evacuate(2, true);
-    world.forget_history();
+    world.compact_store();
     world.set_store_down(false);
     world.run(3_000);
     assert!((0..9).all(|router| uses(&world, router, 1) && !uses(&world, router, 2)));
 }
 
 #[test]
-fn a_zone_behind_a_cut_reads_of_an_evacuation_itself() {
+fn a_partitioned_zone_reads_an_evacuation_itself() {
     let mut world = settled();
     for (a, b) in (0..9).flat_map(|a| (0..9).map(move |b| (a, b))).filter(|(a, b)| a % 3 != b % 3) {
         world.set_cut(a, b, true);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_router_that_starts_without_the_store_learns_of_an_evacuation_from_peers() {
+fn a_router_started_without_the_store_gets_an_evacuation_from_peers() {
     let mut world = settled();
     world.evacuate(1, true);
     world.run(100);
@@ -105,10 +106,10 @@
 }
 
 #[test]
-fn a_stale_copy_at_a_start_does_not_bring_back_an_evacuated_zone() {
+fn a_stale_read_at_start_does_not_undo_an_evacuation() {
     let mut world = settled();
     world.evacuate(1, true);
-    world.lag = 3;
+    world.stale_read_lag = 3;
     world.kill(4);
     world.run(1_000);
     world.start(4, 3);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn where_all_zones_are_evacuated_requests_are_refused_at_once() {
+fn requests_are_refused_at_once_when_all_zones_are_evacuated() {
     let mut world = settled();
     for zone in 0..3 {
         world.evacuate(zone, true);
@@ -127,14 +128,14 @@
 }
 
 #[test]
-fn what_waits_is_placed_anew_when_its_zone_is_evacuated() {
+fn a_waiting_request_is_placed_in_another_zone_after_an_evacuation() {
     let mut world = World::new(9, 3, 3);
-    world.run(SETTLE);
+    world.run(SETTLE_MS);
     // All eight slots of each engine are taken.
     let parts = |number: u128| [(u64::try_from(number).unwrap() + 1_000, 200)];
     let held = (0..24).filter(|number| world.hold(2, *number, &parts(*number)).is_some()).count();
     assert_eq!(held, 24);
-    world.ask(2, 100, &parts(100));
+    world.request_permit(2, 100, &parts(100));
     world.run(10);
     assert_eq!(world.granted(2, 100), None);
     world.evacuate(0, true);
@@ -145,14 +146,14 @@
         world.end(2, number);
     }
     world.run(20);
-    assert_eq!(world.granted(2, 100), None, "an engine of the zone that is emptied took it");
+    assert_eq!(world.granted(2, 100), None, "an engine of the evacuated zone got the request");
     let other = (0..24).find(|number| world.granted(2, *number).is_some_and(|e| zone(&e.to_string()) == 1)).unwrap();
     world.end(2, other);
     world.run(20);
     assert_eq!(world.granted(2, 100).map(|engine| engine.to_string()), Some("e1".to_owned()));
 }
 
-/// A fleet before three engines, which bear few requests while they are cold.
+/// A fleet with three engines, which may be sent few requests while they are cold.
 fn with_cold_engines() -> World {
     let mut world = World::new(9, 3, 3);
     world.cold = Some(Cold { time: Duration::from_secs(3), pace: 10.0 });
@@ -169,48 +170,48 @@
     for index in 0..9 {
         world.start(index, 3);
     }
-    world.run(SETTLE);
+    world.run(SETTLE_MS);
     world
 }
 
-/// How many of a burst of requests the engine e0 is given.
-fn given(world: &mut World, from: u128) -> usize {
+/// How many of a burst of 60 requests are granted at engine e0.
+fn granted_at_e0(world: &mut World, from: u128) -> usize {
     let places = world.burst(2, from, 60);
     places.into_iter().filter(|engine| engine.to_string() == "e0").count()
 }
 
 #[test]
-fn a_home_that_has_just_started_gives_cold_engines_nothing() {
+fn a_home_that_has_just_started_grants_nothing_at_cold_engines() {
     let mut world = with_cold_engines();
     world.put_cold_engine(0, 0, Duration::from_secs(60));
     world.run(1_400);
-    assert!(given(&mut world, 0) > 0);
+    assert!(granted_at_e0(&mut world, 0) > 0);
     let home = world.nodes[2].core.home_of(&"chat".parse().unwrap()).unwrap();
-    let home = world.index(&home);
+    let home = world.index_of(&home);
     world.kill(home);
     world.start(home, 3);
     world.run(500);
-    // It doesn't know what it gave before.
-    assert_eq!(given(&mut world, 1_000), 0);
+    // The restarted home has no record of its earlier grants, so it assumes that they used up the allowance.
+    assert_eq!(granted_at_e0(&mut world, 1_000), 0);
     world.run(3_000);
-    assert!(given(&mut world, 2_000) > 0);
+    assert!(granted_at_e0(&mut world, 2_000) > 0);
 }
 
 #[test]
-fn a_zone_that_is_taken_back_gets_little_at_first_and_so_do_engines_that_say_they_are_cold() {
+fn a_reopened_zone_and_cold_engines_get_few_requests_at_first() {
     let mut world = with_cold_engines();
     world.evacuate(0, true);
     world.run(3_000);
     world.evacuate(0, false);
     world.run(100);
-    // 20 a second are allowed, and the home keeps to two fifths of that in 1.25 s.
-    let first = given(&mut world, 0);
+    // 20 requests a second are allowed, and the home grants at most two fifths of that in 1.25 s.
+    let first = granted_at_e0(&mut world, 0);
     assert!((1..=8).contains(&first), "{first}");
     world.run(3_500);
-    let warm = given(&mut world, 1_000);
+    let warm = granted_at_e0(&mut world, 1_000);
     assert!(warm > 8, "{warm}");
     world.put_cold_engine(0, 0, Duration::from_secs(3));
     world.run(1_400);
-    let cold = given(&mut world, 2_000);
+    let cold = granted_at_e0(&mut world, 2_000);
     assert!((1..=8).contains(&cold), "{cold}");
 }
--- a/crates/stairvale-serve/tests/parts.rs
+++ b/crates/stairvale-serve/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Settings, events and homes' replies.
+//! Tests of parts that need no fleet: settings, event streams, the wait for a home's reply, and metrics.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,31 +8,34 @@
 use stairvale_dispatch::shares::Counts;
 use stairvale_serve::{Settings, core::Reply, metrics, permit, relay::Events, settings::Fault};
 
-const GOOD: &str = "router: r1\nzone: a\ncallers: 127.0.0.1:8080\nready: 127.0.0.1:8081\npeers: 127.0.0.1:8082\n\
+/// A configuration file with all required settings.
+const VALID_SETTINGS: &str = "router: r1\nzone: a\ncallers: 127.0.0.1:8080\nready: 127.0.0.1:8081\npeers: 127.0.0.1:8082\n\
                     store: 127.0.0.1:9000\n";
 
 #[test]
-fn unknown_settings_are_passed_over() {
-    let settings = Settings::parse(&format!("{GOOD}newer: [1, 2]\nbounds:\n  grace_s: 4\n  newest: x\n")).unwrap();
+fn unknown_settings_are_ignored() {
+    let settings =
+        Settings::parse(&format!("{VALID_SETTINGS}newer: [1, 2]\nbounds:\n  grace_s: 4\n  newest: x\n")).unwrap();
     assert!((settings.bounds.grace_s - 4.0).abs() < f64::EPSILON);
 }
 
 #[test]
-fn a_wrong_setting_is_named() {
-    let text = GOOD.replace("callers: 127.0.0.1:8080", "callers: somewhere");
+fn an_invalid_setting_is_named_in_the_error() {
+    let text = VALID_SETTINGS.replace("callers: 127.0.0.1:8080", "callers: somewhere");
     let fault = Settings::parse(&text).unwrap_err();
     assert!(fault.current_context().to_string().contains("callers"), "{fault}");
-    let fault = Settings::parse(&format!("{GOOD}bounds:\n  grace_s: -1\n")).unwrap_err();
+    let fault = Settings::parse(&format!("{VALID_SETTINGS}bounds:\n  grace_s: -1\n")).unwrap_err();
     assert!(matches!(fault.current_context(), Fault::Range("bounds.grace_s", _)));
     let fault = Settings::parse("router: r1\n").unwrap_err();
     assert!(matches!(fault.current_context(), Fault::Syntax(_)));
 }
 
 #[test]
-fn bounds_of_roll_outs_are_read_and_checked() {
-    let bounds =
-        |text: &str| Settings::parse(&format!("{GOOD}bounds:\n{text}")).map(|settings| settings.bounds.rollout());
-    let usual = Settings::parse(GOOD).unwrap().bounds.rollout();
+fn roll_out_bounds_are_parsed_and_validated() {
+    let bounds = |text: &str| {
+        Settings::parse(&format!("{VALID_SETTINGS}bounds:\n{text}")).map(|settings| settings.bounds.rollout())
+    };
+    let usual = Settings::parse(VALID_SETTINGS).unwrap().bounds.rollout();
     assert_eq!((usual.share, usual.slack, usual.rollback), (0.1, 0.0, Duration::from_secs(5)));
     let set = bounds("  exposure_share: 0.05\n  exposure_slack: 50\n  rollback_ms: 2500\n").unwrap();
     assert_eq!((set.share, set.slack, set.rollback), (0.05, 50.0, Duration::from_millis(2_500)));
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn only_whole_events_go_on() {
+fn only_complete_events_are_forwarded() {
     let mut events = Events::default();
     assert_eq!(&events.take(b"id: 4\ndata: x\n\nid: 5\nda")[..], b"id: 4\ndata: x\n\n");
     assert_eq!(events.last(), Some("4"));
@@ -62,12 +65,12 @@
 }
 
 quickcheck! {
-    /// However a stream is cut into pieces, the same whole events come out.
-    fn pieces_do_not_matter(ids: Vec<u16>, cuts: Vec<u8>) -> bool {
-        let whole: String = ids.iter().map(|id| format!("id: {id}\ndata: {id}\n\n")).collect();
+    /// The same complete events are forwarded, however the stream is split into chunks.
+    fn events_do_not_depend_on_chunk_boundaries(ids: Vec<u16>, cuts: Vec<u8>) -> bool {
+        let stream: String = ids.iter().map(|id| format!("id: {id}\ndata: {id}\n\n")).collect();
         let mut events = Events::default();
         let mut out = Vec::new();
-        let mut rest = whole.as_bytes();
+        let mut rest = stream.as_bytes();
         for cut in cuts {
             let (piece, next) = rest.split_at(usize::from(cut).min(rest.len()));
             out.extend_from_slice(&events.take(piece));
@@ -75,16 +78,16 @@
         }
         out.extend_from_slice(&events.take(rest));
         let last = ids.last().map(u16::to_string);
-        out == whole.as_bytes() && events.last() == last.as_deref()
+        out == stream.as_bytes() && events.last() == last.as_deref()
     }
 
-    /// Settings of any text end in a typed fault, never in a panic.
-    fn any_settings_are_read_or_refused(text: String) -> bool {
+    /// Any text is parsed or gives a typed error, and never causes a panic.
+    fn any_text_is_parsed_or_rejected(text: String) -> bool {
         Settings::parse(&text).is_ok() || Settings::parse(&text).is_err()
     }
 }
 
-/// What `next` says of a reply that comes so many ms after the ask, with a limit of 50 ms, in paused time.
+/// Runs `permit::next` with a limit of 50 ms on a reply that arrives after `millis`, in simulated time; returns its result.
 fn reply_after(millis: u64) -> Option<Reply> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
@@ -102,15 +105,15 @@
 }
 
 #[test]
-fn a_home_is_not_silent_because_this_process_stood_still() {
+fn a_home_is_not_unresponsive_because_this_process_was_suspended() {
     assert_eq!(reply_after(10), Some(Reply::Waits));
-    // The timer went off first, though the reply lay there: it is read before the home counts as silent.
+    // The timer fires first although the reply is there, as after a suspension of this process: it is read before the home counts as unresponsive.
     assert_eq!(reply_after(51), Some(Reply::Waits));
     assert_eq!(reply_after(200), None);
 }
 
 #[test]
-fn metrics_name_some_customers_and_count_the_others_together() {
+fn metrics_list_some_customers_and_sum_up_the_others() {
     let service = "app".parse().unwrap();
     let counts = Counts { served: 7, waited: 2, refused: 1 };
     let named = vec![(Some("acme".parse().unwrap()), counts), (None, Counts { served: 3, ..Counts::default() })];
--- a/crates/stairvale-serve/tests/quarantine.rs
+++ b/crates/stairvale-serve/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that upstreams end under, while routers are cut off, start and die, and hold it at the same moment.
+//! A request under which upstreams terminate, while routers are partitioned, started and killed, and while several routers run
+//! that request at once.
 
 #![allow(clippy::unwrap_used, clippy::print_stdout)]
 
@@ -13,262 +14,274 @@
 use stairvale_types::id;
 use world::World;
 
+/// The fingerprint of the request under which upstreams terminate.
 const FATAL: id::Fingerprint = id::Fingerprint(0xdead);
-/// By then a fleet knows itself and its homes, in ms.
-const SETTLE: u64 = 4_000;
-/// From the start of a run to the end of its upstream, in ms.
-const RUNS: u64 = 120;
-/// An upstream that ended is missing from the store after this, and another one is there after that, in ms.
-const LAPSE: u64 = 900;
-const RESTART: u64 = 3_000;
-/// A router is in touch when it has been undisturbed for this long, in ms.
-const TOUCH: u64 = 3_000;
+/// Time for a fleet to agree on its members and homes, in ms.
+const SETTLE_MS: u64 = 4_000;
+/// Time from the start of the request to the termination of its upstream, in ms.
+const TIME_TO_CRASH_MS: u64 = 120;
+/// Time from an upstream's termination until its entry is removed from the store, in ms.
+const EXPIRY_MS: u64 = 900;
+/// Time from an upstream's termination until another one is registered in its place, in ms.
+const RESTART_MS: u64 = 3_000;
+/// A router counts as connected when no fault has affected it for this long, in ms.
+const CONNECTED_AFTER_MS: u64 = 3_000;
 
-/// The request on its way through a router.
+/// One sending of the request, at its entry router.
 struct Request {
     router: usize,
     number: u128,
-    /// Who was asked for a place.
+    /// The home that got the permit request.
     home: id::Router,
-    /// The engine that runs it, and since when.
+    /// The engine that runs the request, and since when, in ms.
     runs: Option<(usize, u64)>,
 }
 
-/// A fleet, its engines, and a caller that sends the same request again and again.
-struct Trouble {
+/// A fleet, its engines, and a caller that sends the same request repeatedly.
+struct Scenario {
     world: World,
     zones: usize,
-    /// Engines that run, and those that ended and when.
-    living: BTreeSet<usize>,
-    gone: Vec<(usize, u64)>,
+    /// The engines that run.
+    running: BTreeSet<usize>,
+    /// The engines that have terminated, each with the time, in ms.
+    terminated: Vec<(usize, u64)>,
     next: usize,
     number: u128,
     under_way: Vec<Request>,
-    ended: Vec<u64>,
-    /// When requests were sent to engines, and by whom.
+    /// The times at which engines terminated, in ms.
+    terminations: Vec<u64>,
+    /// The times, in ms, at which the request was sent to an engine, each with the entry router.
     sent: Vec<(u64, usize)>,
-    /// When each router was last disturbed.
+    /// When a fault last affected each router, in ms.
     disturbed: Vec<u64>,
 }
 
-impl Trouble {
+impl Scenario {
     fn new(routers: usize, zones: usize, engines: usize) -> Self {
         let mut world = World::new(routers, zones, engines);
-        world.run(SETTLE);
+        world.run(SETTLE_MS);
         Self {
             world,
             zones,
-            living: (0..engines).collect(),
-            gone: Vec::new(),
+            running: (0..engines).collect(),
+            terminated: Vec::new(),
             next: engines,
             number: 1,
             under_way: Vec::new(),
-            ended: Vec::new(),
+            terminations: Vec::new(),
             sent: Vec::new(),
             disturbed: vec![0; routers],
         }
     }
 
-    /// The request comes in at a router.
+    /// Sends the request to a router, if it runs and has a configuration.
     fn send(&mut self, router: usize) {
         if self.world.is_alive(router) && self.world.version(router) > 0 {
             self.number += 1;
-            let (number, home) = (self.number, self.world.ask_for(router, self.number, FATAL));
+            let (number, home) = (self.number, self.world.request_permit_for(router, self.number, FATAL));
             self.under_way.push(Request { router, number, home, runs: None });
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time, the requests under way, and the engines' entries in the store.
     fn run(&mut self, millis: u64) {
         let end = self.world.now + millis;
         while self.world.now < end {
             self.world.run(5);
             let under_way = std::mem::take(&mut self.under_way);
-            self.under_way = under_way.into_iter().filter_map(|request| self.go_on(request)).collect();
-            self.look_after();
+            self.under_way = under_way.into_iter().filter_map(|request| self.advance(request)).collect();
+            self.replace_engines();
         }
     }
 
-    /// What the request does next; `None` once it has ended.
-    fn go_on(&mut self, request: Request) -> Option<Request> {
+    /// Advances one sending by a step; returns `None` once it has ended.
+    fn advance(&mut self, request: Request) -> Option<Request> {
         let Request { router, number, .. } = request;
         if !self.world.is_alive(router) {
             return None;
         }
         let Some((engine, since)) = request.runs else {
-            return self.place(request);
+            return self.start_if_granted(request);
         };
-        if self.world.now < since + RUNS && self.living.contains(&engine) {
+        if self.world.now < since + TIME_TO_CRASH_MS && self.running.contains(&engine) {
             return Some(request);
         }
-        if self.living.remove(&engine) {
-            self.gone.push((engine, self.world.now));
-            self.ended.push(self.world.now);
+        if self.running.remove(&engine) {
+            self.terminated.push((engine, self.world.now));
+            self.terminations.push(self.world.now);
         }
-        self.world.end_as(router, number, Outcome::Ended);
+        self.world.end_with(router, number, Outcome::Ended);
         None
     }
 
-    fn place(&mut self, request: Request) -> Option<Request> {
+    fn start_if_granted(&mut self, request: Request) -> Option<Request> {
         let Request { router, number, home, .. } = &request;
-        let Some(upstream) = self.world.start_for(*router, *number, home, FATAL) else {
-            let told = self.world.nodes[*router].replies.contains_key(&id::Attempt(*number));
-            return (!told).then_some(request);
+        let Some(upstream) = self.world.start_request(*router, *number, home, FATAL) else {
+            let decided = self.world.nodes[*router].replies.contains_key(&id::Attempt(*number));
+            return (!decided).then_some(request);
         };
         let engine: usize = upstream.as_str()[1..].parse().unwrap();
-        if !self.living.contains(&engine) {
-            self.world.end_as(*router, *number, Outcome::Unreachable);
+        if !self.running.contains(&engine) {
+            self.world.end_with(*router, *number, Outcome::Unreachable);
             return None;
         }
         self.sent.push((self.world.now, *router));
         Some(Request { runs: Some((engine, self.world.now)), ..request })
     }
 
-    /// Entries of engines that ended lapse, and others start.
-    fn look_after(&mut self) {
+    /// Removes the entries of terminated engines and registers their replacements, when due.
+    fn replace_engines(&mut self) {
         let now = self.world.now;
-        for (engine, since) in self.gone.clone() {
-            if now == since + LAPSE {
+        for (engine, since) in self.terminated.clone() {
+            if now == since + EXPIRY_MS {
                 self.world.put_engine(engine, engine % self.zones, None);
             }
-            if now == since + RESTART {
+            if now == since + RESTART_MS {
                 self.world.put_engine(self.next, engine % self.zones, Some(State::Ready));
-                self.living.insert(self.next);
+                self.running.insert(self.next);
                 self.next += 1;
             }
         }
     }
 
-    /// Sendings that routers in touch made later than [`TOUCH`] after the third end.
-    fn late(&self) -> usize {
-        let Some(third) = self.ended.get(2) else {
+    /// How often connected routers sent the request to an engine later than [`CONNECTED_AFTER_MS`] after the third termination.
+    fn late_sends(&self) -> usize {
+        let Some(third) = self.terminations.get(2) else {
             return 0;
         };
-        let counts = |(at, router): &&(u64, usize)| *at > third + TOUCH && *at > self.disturbed[*router] + TOUCH;
+        let counts = |(at, router): &&(u64, usize)| {
+            *at > third + CONNECTED_AFTER_MS && *at > self.disturbed[*router] + CONNECTED_AFTER_MS
+        };
         self.sent.iter().filter(counts).count()
     }
 }
 
-/// What may happen to the fleet meanwhile.
+/// The faults that affect the fleet during a run.
 #[derive(Clone, Copy, Debug)]
-enum Kind {
-    Nothing,
-    CutOff,
-    Starts,
-    Dies,
-    AllDie,
+enum FaultKind {
+    None,
+    Partition,
+    Restart,
+    HomeKilled,
+    AllKilled,
     StoreDown,
-    AtOnce,
+    /// No fault, but several routers run the request at the same time.
+    Concurrent,
 }
 
-fn play(kind: Kind, seed: u64) -> Trouble {
+fn run_scenario(kind: FaultKind, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut trouble = Trouble::new(9, 3, 12);
+    let mut scenario = Scenario::new(9, 3, 12);
     let service: id::Service = "chat".parse().unwrap();
-    // Trouble comes before, while and after the first upstreams end.
+    // The offset puts faults before, during and after the first terminations.
     let offset = rng.random_range(0..10);
-    let at_once = if matches!(kind, Kind::AtOnce) { 6 } else { 1 };
+    let per_round = if matches!(kind, FaultKind::Concurrent) { 6 } else { 1 };
     for round in 0..60_u64 {
-        for _ in 0..at_once {
-            trouble.send(rng.random_range(0..9));
+        for _ in 0..per_round {
+            scenario.send(rng.random_range(0..9));
         }
-        trouble.run(rng.random_range(20..40) * 10);
-        let now = trouble.world.now;
-        let home = trouble.world.nodes[0].core.home_of(&service).unwrap();
-        let home = trouble.world.index(&home);
+        scenario.run(rng.random_range(20..40) * 10);
+        let now = scenario.world.now;
+        let home = scenario.world.nodes[0].core.home_of(&service).unwrap();
+        let home = scenario.world.index_of(&home);
         match (kind, (round + offset) % 10) {
-            (Kind::CutOff, 3) => {
+            (FaultKind::Partition, 3) => {
                 let index = *(0..9).collect::<Vec<_>>().choose(&mut rng).unwrap();
                 for other in 0..9 {
-                    trouble.world.set_cut(index, other, true);
+                    scenario.world.set_cut(index, other, true);
                 }
-                trouble.disturbed[index] = u64::MAX - TOUCH;
+                scenario.disturbed[index] = u64::MAX - CONNECTED_AFTER_MS;
             }
-            (Kind::CutOff, 8) => {
+            (FaultKind::Partition, 8) => {
                 for (a, b) in (0..9).flat_map(|a| (0..9).map(move |b| (a, b))) {
-                    trouble.world.set_cut(a, b, false);
+                    scenario.world.set_cut(a, b, false);
                 }
-                trouble.disturbed.iter_mut().filter(|at| **at > now).for_each(|at| *at = now);
+                scenario.disturbed.iter_mut().filter(|at| **at > now).for_each(|at| *at = now);
             }
-            (Kind::Dies, 2 | 5) => {
-                trouble.world.kill(home);
+            (FaultKind::HomeKilled, 2 | 5) => {
+                scenario.world.kill(home);
             }
-            (Kind::Starts, 4) => {
+            (FaultKind::Restart, 4) => {
                 let index = rng.random_range(0..9);
-                trouble.world.kill(index);
-                trouble.world.start(index, 3);
-                trouble.disturbed[index] = now;
+                scenario.world.kill(index);
+                scenario.world.start(index, 3);
+                scenario.disturbed[index] = now;
             }
-            (Kind::AllDie, 7) => (0..9).for_each(|index| trouble.world.kill(index)),
-            (Kind::AllDie, 8) | (Kind::Dies, 9) => {
+            (FaultKind::AllKilled, 7) => (0..9).for_each(|index| scenario.world.kill(index)),
+            (FaultKind::AllKilled, 8) | (FaultKind::HomeKilled, 9) => {
                 for index in 0..9 {
-                    if !trouble.world.is_alive(index) {
-                        trouble.world.start(index, 3);
-                        trouble.disturbed[index] = now;
+                    if !scenario.world.is_alive(index) {
+                        scenario.world.start(index, 3);
+                        scenario.disturbed[index] = now;
                     }
                 }
             }
-            (Kind::StoreDown, 1) => trouble.world.set_store_down(true),
-            (Kind::StoreDown, 9) => trouble.world.set_store_down(false),
+            (FaultKind::StoreDown, 1) => scenario.world.set_store_down(true),
+            (FaultKind::StoreDown, 9) => scenario.world.set_store_down(false),
             _ => {}
         }
     }
-    trouble.run(2_000);
-    trouble
+    scenario.run(2_000);
+    scenario
 }
 
 #[test]
-fn a_request_that_upstreams_end_under_ends_few_whatever_happens_to_routers() {
-    for (kind, most) in [
-        (Kind::Nothing, 3),
-        (Kind::CutOff, 6),
-        (Kind::Starts, 4),
-        (Kind::Dies, 6),
-        (Kind::AllDie, 6),
-        (Kind::StoreDown, 3),
-        (Kind::AtOnce, 8),
+fn a_crashing_request_terminates_few_upstreams_under_any_faults() {
+    for (kind, max) in [
+        (FaultKind::None, 3),
+        (FaultKind::Partition, 6),
+        (FaultKind::Restart, 4),
+        (FaultKind::HomeKilled, 6),
+        (FaultKind::AllKilled, 6),
+        (FaultKind::StoreDown, 3),
+        (FaultKind::Concurrent, 8),
     ] {
-        let mut ends = Vec::new();
+        let mut terminations = Vec::new();
         for seed in 0..20 {
-            let trouble = play(kind, seed);
-            ends.push(trouble.ended.len());
-            assert!(trouble.late() <= 3, "{kind:?}, seed {seed}: {} sent late, {:?}", trouble.late(), trouble.ended);
+            let scenario = run_scenario(kind, seed);
+            terminations.push(scenario.terminations.len());
+            assert!(
+                scenario.late_sends() <= 3,
+                "{kind:?}, seed {seed}: {} sent late, {:?}",
+                scenario.late_sends(),
+                scenario.terminations
+            );
         }
-        ends.sort_unstable();
-        println!("{kind:?}: median {}, most {}", ends[10], ends[19]);
-        assert!(ends[19] <= most, "{kind:?}: {ends:?}");
+        terminations.sort_unstable();
+        println!("{kind:?}: median {}, maximum {} terminated upstreams", terminations[10], terminations[19]);
+        assert!(terminations[19] <= max, "{kind:?}: {terminations:?}");
     }
 }
 
-/// Sends the request until it is refused for good; gives how many engines have ended by then.
-fn until_refused(trouble: &mut Trouble) -> usize {
+/// Sends the request 40 times, by the end of which it is refused; returns how many engines have terminated so far.
+fn send_until_refused(scenario: &mut Scenario) -> usize {
     for round in 0..40 {
-        trouble.send(round % 9);
-        trouble.run(300);
+        scenario.send(round % 9);
+        scenario.run(300);
     }
-    trouble.ended.len()
+    scenario.terminations.len()
 }
 
 #[test]
-fn when_its_time_is_over_it_is_tried_once_and_either_is_like_any_other_or_kept_for_longer() {
-    let mut trouble = Trouble::new(9, 3, 12);
-    assert_eq!(until_refused(&mut trouble), 3);
-    // Two minutes after it was found; the rounds above took twelve seconds.
-    trouble.run(121_000);
-    assert_eq!(until_refused(&mut trouble), 4, "one more engine, not three");
-    trouble.run(121_000);
-    assert_eq!(until_refused(&mut trouble), 4, "it is kept for four minutes now");
-    trouble.run(121_000);
-    // The cause is mended meanwhile: it ends well.
-    let home = trouble.world.ask_for(2, 900_000, FATAL);
-    trouble.world.run(100);
-    trouble.world.start_for(2, 900_000, &home, FATAL).unwrap();
-    trouble.world.end(2, 900_000);
-    trouble.world.run(200);
+fn an_expired_quarantine_is_retried_once_and_then_ended_or_extended() {
+    let mut scenario = Scenario::new(9, 3, 12);
+    assert_eq!(send_until_refused(&mut scenario), 3);
+    // The quarantine lasts two minutes from its start, and the rounds above took twelve seconds.
+    scenario.run(121_000);
+    assert_eq!(send_until_refused(&mut scenario), 4, "one more engine, not three");
+    scenario.run(121_000);
+    assert_eq!(send_until_refused(&mut scenario), 4, "the quarantine lasts four minutes now");
+    scenario.run(121_000);
+    // The cause was fixed meanwhile, so the request succeeds.
+    let home = scenario.world.request_permit_for(2, 900_000, FATAL);
+    scenario.world.run(100);
+    scenario.world.start_request(2, 900_000, &home, FATAL).unwrap();
+    scenario.world.end(2, 900_000);
+    scenario.world.run(200);
     for number in 900_001..900_010 {
-        let home = trouble.world.ask_for(4, number, FATAL);
-        trouble.world.run(50);
-        assert!(trouble.world.start_for(4, number, &home, FATAL).is_some(), "it is like any other");
-        trouble.world.end(4, number);
+        let home = scenario.world.request_permit_for(4, number, FATAL);
+        scenario.world.run(50);
+        assert!(scenario.world.start_request(4, number, &home, FATAL).is_some(), "the request is no longer restricted");
+        scenario.world.end(4, number);
     }
 }
--- a/crates/stairvale-serve/tests/restores.rs
+++ b/crates/stairvale-serve/tests/restores.rs
@@ -1,4 +1,5 @@
-//! A store that is restored from a copy, before a fleet of routers: how soon all know, and what that costs.
+//! A store that is restored from a copy: how soon all routers have the changes made after that, and how many calls and bytes this
+//! costs.
 
 #![allow(clippy::unwrap_used, clippy::print_stderr)]
 
@@ -7,125 +8,130 @@
 use stairvale_replica::State;
 use world::World;
 
-/// Changes that a restore takes back.
-const LOST: usize = 30;
-/// In this time every router knows what is written after a restore, in ms.
-const BOUND: u64 = 2_000;
+/// The number of changes that a restore undoes.
+const LOST_CHANGES: usize = 30;
+/// The time within which a change made after a restore has to reach every router, in ms.
+const BOUND_MS: u64 = 2_000;
 
-/// A fleet in which a few routers of each zone are strong, and a store that tells epochs.
-fn world(routers: usize, zones: usize, engines: usize) -> World {
+/// A fleet with three strong routers in each zone, and a store whose answers carry epochs.
+fn fleet(routers: usize, zones: usize, engines: usize) -> World {
     let strengths = (0..routers).map(|index| if index < 3 * zones { 50 } else { 12 }).collect();
     let mut world = World::with_strengths(strengths, zones, engines);
-    world.tell_epochs();
+    world.enable_epochs();
     world.slots = 64;
     world.run(8_000);
     world
 }
 
-/// The time, in ms, until some part of the routers has the newest configuration.
-fn until(world: &mut World, routers: usize, part: usize) -> u64 {
-    let (from, newest) = (world.now, world.versions.last().unwrap().0);
-    while (0..routers).filter(|index| world.version(*index) == newest).count() < part {
+/// Advances the time until `count` routers have the newest configuration; returns how long that took, in ms.
+fn run_until_current(world: &mut World, routers: usize, count: usize) -> u64 {
+    let (from, newest) = (world.now, world.config_versions.last().unwrap().0);
+    while (0..routers).filter(|index| world.version(*index) == newest).count() < count {
         world.run(5);
-        assert!(world.now - from <= BOUND, "not known to {part} of {routers} after {BOUND} ms");
+        assert!(
+            world.now - from <= BOUND_MS,
+            "fewer than {count} of {routers} routers have the newest configuration after {BOUND_MS} ms"
+        );
     }
     world.now - from
 }
 
-fn play(routers: usize, zones: usize, engines: usize) {
-    let mut world = world(routers, zones, engines);
-    for engine in 0..LOST {
+/// Restores the store without its last changes, writes a configuration, and checks how many calls and how much time it takes to
+/// reach all routers.
+fn check_restore(routers: usize, zones: usize, engines: usize) {
+    let mut world = fleet(routers, zones, engines);
+    for engine in 0..LOST_CHANGES {
         world.put_engine(engine % engines, engine % zones, Some(State::Ready));
     }
     world.run(2_000);
     world.set_store_down(true);
     world.run(600);
-    world.restore(LOST);
+    world.restore(LOST_CHANGES);
     world.set_store_down(false);
-    let reads = |world: &World| world.nodes.iter().map(|node| node.reads).sum::<usize>();
+    let reads = |world: &World| world.nodes.iter().map(|node| node.watch_calls).sum::<usize>();
     let before = reads(&world);
-    world.recount();
+    world.take_byte_counts();
     world.configure();
-    let median = until(&mut world, routers, routers / 2);
-    let last = median + until(&mut world, routers, routers);
-    world.run(BOUND - last);
-    let (calls, busiest) = (reads(&world) - before, world.busiest());
-    let crossed = world.crossed().values().sum::<usize>();
-    let bytes = world.recount();
+    let median = run_until_current(&mut world, routers, routers / 2);
+    let last = median + run_until_current(&mut world, routers, routers);
+    world.run(BOUND_MS - last);
+    let (calls, max_bytes) = (reads(&world) - before, world.max_sender_bytes());
+    let crossed = world.cross_zone_bytes().values().sum::<usize>();
+    let bytes = world.take_byte_counts();
     let sum = bytes.values().sum::<usize>();
     eprintln!(
-        "{routers} routers, {engines} upstreams: known after {median} ms (median) and {last} ms (last); in {BOUND} ms \
-         {calls} calls, {sum} bytes, {busiest} of one router, {crossed} between zones: {bytes:?}"
+        "{routers} routers, {engines} upstreams: configuration received after {median} ms (median) and {last} ms (last); in {BOUND_MS} ms \
+         {calls} calls, {sum} bytes, at most {max_bytes} by one router, {crossed} between zones: {bytes:?}"
     );
-    // Calls of routers that saw the store fail, and few more, however many others there are.
+    // Each router may make one call after its call to the store failed; beyond that there are few calls in a fleet of any size.
     assert!(calls <= 40 + routers, "{calls} calls");
 }
 
-/// Guards against a fleet that learns of a restore late, and against calls without end.
+/// Guards against a fleet that detects a restore late, and against an unbounded number of calls.
 #[test]
-fn a_small_fleet_knows_at_once_what_is_written_after_a_restore() {
-    play(9, 3, 15);
+fn a_small_fleet_gets_changes_after_a_restore_in_time() {
+    check_restore(9, 3, 15);
 }
 
 #[test]
-fn a_large_fleet_knows_at_once_what_is_written_after_a_restore() {
-    play(99, 3, 990);
+fn a_large_fleet_gets_changes_after_a_restore_in_time() {
+    check_restore(99, 3, 990);
 }
 
-/// Guards against routers that are cut off from the store and learn of a restore from nobody.
+/// Guards against routers that can't reach the store and don't learn of a restore from their peers.
 #[test]
-fn a_zone_that_is_away_from_the_store_learns_of_a_restore_from_the_others() {
-    let mut world = world(9, 3, 15);
+fn a_zone_without_store_access_learns_of_a_restore_from_others() {
+    let mut world = fleet(9, 3, 15);
     world.run(2_000);
     for index in (0..9).filter(|index| index % 3 == 1) {
         world.set_store_cut(index, true);
     }
     world.run(3_000);
-    world.restore(LOST.min(5));
+    world.restore(LOST_CHANGES.min(5));
     world.configure();
-    until(&mut world, 9, 9);
+    run_until_current(&mut world, 9, 9);
     world.put_engine(0, 0, Some(State::Draining));
-    world.run(BOUND);
-    assert!((0..9).all(|index| !world.usable(index, 0)));
+    world.run(BOUND_MS);
+    assert!((0..9).all(|index| !world.is_usable(index, 0)));
 }
 
-/// Guards against a router that takes over reading with a copy of the time before a restore.
+/// Guards against a router that takes over as reader with a copy from before a restore.
 #[test]
-fn a_reader_that_ends_in_a_restore_is_replaced_by_one_that_knows_of_it() {
-    let mut world = world(9, 3, 15);
+fn a_reader_killed_in_a_restore_is_replaced_by_one_that_reads_the_new_epoch() {
+    let mut world = fleet(9, 3, 15);
     world.run(2_000);
-    let reader = (0..9).max_by_key(|index| world.nodes[*index].reads).unwrap();
+    let reader = (0..9).max_by_key(|index| world.nodes[*index].watch_calls).unwrap();
     world.put_engine(14, 0, Some(State::Ready));
     world.run(500);
     world.restore(1);
     world.kill(reader);
     world.configure();
-    world.run(BOUND + 2_000);
-    let newest = world.versions.last().unwrap().0;
+    world.run(BOUND_MS + 2_000);
+    let newest = world.config_versions.last().unwrap().0;
     assert!((0..9).filter(|index| *index != reader).all(|index| world.version(index) == newest));
 }
 
-/// Guards against an upgrade in which one build's revisions keep the other's routers from what is new.
+/// Guards against an upgrade during which the revisions of one build keep routers of the other build from newer changes.
 #[test]
-fn routers_that_know_epochs_and_routers_that_do_not_form_one_fleet() {
+fn routers_with_and_without_epochs_form_one_fleet() {
     for part in 0..2 {
         let mut world = World::with_strengths(vec![50; 9], 3, 15);
-        world.tell_epochs();
-        world.plain = (0..9).filter(|index| index % 2 == part).collect();
+        world.enable_epochs();
+        world.without_epochs = (0..9).filter(|index| index % 2 == part).collect();
         world.run(8_000);
         for _ in 0..6 {
             world.configure();
-            until(&mut world, 9, 9);
+            run_until_current(&mut world, 9, 9);
             world.run(700);
-            assert!((0..9).all(|index| world.trusts(index)));
+            assert!((0..9).all(|index| world.trusts_keys(index)));
         }
         world.put_engine(3, 0, Some(State::Draining));
-        world.run(BOUND);
-        assert!((0..9).all(|index| !world.usable(index, 3)));
-        // A router of the earlier build would ask the store for what it never gave out.
-        let told = |index: &usize| world.nodes[*index].core.view().epoch();
-        assert!(world.plain.iter().all(|index| told(index) == 0));
-        // One of each build starts anew.
+        world.run(BOUND_MS);
+        assert!((0..9).all(|index| !world.is_usable(index, 3)));
+        // With an epoch, a router of the earlier build would request a revision that the store never assigned.
+        let epoch = |index: &usize| world.nodes[*index].core.view().epoch();
+        assert!(world.without_epochs.iter().all(|index| epoch(index) == 0));
+        // Restart one router of each build.
         for index in 0..2 {
             world.kill(index);
             world.run(300);
@@ -133,26 +139,26 @@
         }
         world.run(3_000);
         world.configure();
-        until(&mut world, 9, 9);
+        run_until_current(&mut world, 9, 9);
     }
 }
 
-/// Guards against routers that believe one of the earlier build, which can't know of a restore.
+/// Guards against routers that accept state from a router of the earlier build, which can't detect a restore.
 #[test]
-fn routers_that_know_epochs_learn_of_a_restore_beside_others_that_do_not() {
+fn routers_with_epochs_learn_of_a_restore_beside_others_without() {
     for part in 0..2 {
         let mut world = World::with_strengths(vec![50; 9], 3, 15);
-        world.tell_epochs();
-        world.plain = (0..9).filter(|index| index % 2 == part).collect();
+        world.enable_epochs();
+        world.without_epochs = (0..9).filter(|index| index % 2 == part).collect();
         world.run(8_000);
-        for engine in 0..LOST {
+        for engine in 0..LOST_CHANGES {
             world.put_engine(engine % 15, engine % 3, Some(State::Ready));
         }
         world.run(2_000);
-        world.restore(LOST);
+        world.restore(LOST_CHANGES);
         world.configure();
-        world.run(BOUND);
-        let newest = world.versions.last().unwrap().0;
+        world.run(BOUND_MS);
+        let newest = world.config_versions.last().unwrap().0;
         for index in (0..9).filter(|index| index % 2 != part) {
             assert_eq!(world.version(index), newest, "router {index}, part {part}");
         }
--- a/crates/stairvale-serve/tests/stewards.rs
+++ b/crates/stairvale-serve/tests/stewards.rs
@@ -1,4 +1,5 @@
-//! A service moves to another version while routers, ways and the store fail: what its homes do, one after the other.
+//! Roll-outs while routers, network links and the store fail: how a service's home, and the routers that succeed it, carry them
+//! out.
 
 #![allow(clippy::unwrap_used, clippy::cast_precision_loss)]
 
@@ -9,21 +10,22 @@
 use quickcheck::quickcheck;
 use stairvale_rollout::{Cause, Record, Stage};
 use stairvale_table::Cold;
-use world::{World, records::Trouble, traffic::Traffic};
+use world::{World, records::Fault, traffic::Traffic};
 
-/// By then a fleet that starts knows itself and its homes, in ms.
-const FOUND: u64 = 4_000;
-/// What the order allows.
-const OVER: Duration = Duration::from_secs(20);
-/// The new version's engines.
+/// Time for a starting fleet to agree on its members and homes, in ms.
+const SETTLE_MS: u64 = 4_000;
+/// The time within which the order has to be completed or rolled back.
+const ORDER_DEADLINE: Duration = Duration::from_secs(20);
+/// The engines of the new version.
 const NEW: [usize; 3] = [6, 7, 8];
 
-/// Nine routers in three zones; engines 0 to 5 are old, 6 to 8 new.
+/// A fleet of nine routers in three zones, without slack for the new version. Engines 0 to 5 run the old version; 6 to 8, which
+/// run the new one, register with [`order_new_version`].
 fn fleet() -> World {
     fleet_with(0.0)
 }
 
-/// The same with so many requests beyond the new version's share.
+/// A fleet like [`fleet`] that allows the new version `slack` requests beyond its share.
 fn fleet_with(slack: f64) -> World {
     let mut world = World::new(9, 3, 0);
     world.bounds.exposure_slack = slack;
@@ -32,16 +34,16 @@
         world.start(index, 3);
     }
     for engine in 0..6 {
-        world.put_version(engine, engine % 3, "v1");
+        world.put_engine_version(engine, engine % 3, "v1");
     }
-    world.run(FOUND);
+    world.run(SETTLE_MS);
     world
 }
 
-fn order(world: &mut World) -> u64 {
-    let order = world.order(Some("v2"), OVER);
+fn order_new_version(world: &mut World) -> u64 {
+    let order = world.set_order(Some("v2"), ORDER_DEADLINE);
     for engine in NEW {
-        world.put_version(engine, engine % 3, "v2");
+        world.put_engine_version(engine, engine % 3, "v2");
     }
     order
 }
@@ -50,7 +52,7 @@
     NEW.contains(&engine)
 }
 
-fn to_new(traffic: &Traffic, after: u64) -> usize {
+fn sent_to_new(traffic: &Traffic, after: u64) -> usize {
     NEW.iter().map(|engine| traffic.sent_after(*engine, after)).sum()
 }
 
@@ -58,40 +60,40 @@
     world.record().map(|(_, record)| record.stage)
 }
 
-/// Whether no record goes back on the one before it, and nothing was given that wasn't reserved before.
-fn only_goes_on(history: &[Record]) -> bool {
+/// Whether the records of an order are monotonic: the granted requests and the stage never decrease, and a final stage stays.
+fn is_monotonic(history: &[Record]) -> bool {
     history.windows(2).all(|pair| {
         let [before, after] = pair else { return true };
-        let same = before.order == after.order;
+        let same_order = before.order == after.order;
         let rank = |stage: Stage| match stage {
             Stage::Trial => 0,
             Stage::Moving => 1,
             Stage::Completed | Stage::RolledBack(_) => 2,
         };
-        !same
+        !same_order
             || after.granted >= before.granted
                 && rank(after.stage) >= rank(before.stage)
                 && (!before.stage.is_over() || before.stage == after.stage)
     })
 }
 
-/// Whether the new version got no more than the bounds say: its share of all requests since the order, and some; and nothing
-/// later than is set after its 50th bad answer.
+/// Whether the new version got no more than its bounds allow: its share of all requests since the order plus the slack, and no
+/// request later than the roll-back bound after its 50th failure.
 fn within_bounds(world: &World, traffic: &Traffic, since: u64, requests_before: u64) -> bool {
     let bounds = world.bounds;
     let requests = traffic.requests() - requests_before;
-    let most = bounds.exposure_share * requests as f64 + bounds.exposure_slack;
-    let late = traffic.bad.get(49).is_some_and(|at| to_new(traffic, at + bounds.rollback_ms) > 0);
-    to_new(traffic, since) as f64 <= most && !late
+    let limit = bounds.exposure_share * requests as f64 + bounds.exposure_slack;
+    let late = traffic.failed.get(49).is_some_and(|at| sent_to_new(traffic, at + bounds.rollback_ms) > 0);
+    sent_to_new(traffic, since) as f64 <= limit && !late
 }
 
 #[test]
-fn the_home_takes_an_order_up_and_nobody_else_writes() {
+fn only_the_home_writes_the_record_of_an_order() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    let order = order(&mut world);
-    world.serve_all(&mut traffic, 3_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    let order = order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 3_000, |_| false);
     let home = world.home(0);
     let (_, record) = world.record().unwrap();
     assert_eq!((record.order, record.target.as_str(), record.stage), (order, "v2", Stage::Trial));
@@ -100,165 +102,175 @@
 }
 
 #[test]
-fn a_good_version_is_completed_in_time_and_the_old_one_gets_nothing_then() {
+fn a_healthy_version_is_completed_in_time_and_replaces_the_old_one() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    order(&mut world);
-    world.serve_all(&mut traffic, 20_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 20_000, |_| false);
     assert_eq!(stage(&world), Some(Stage::Completed), "{:?}", world.record());
     let now = world.now;
-    world.serve_all(&mut traffic, 1_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
     assert!((0..6).all(|engine| traffic.sent_after(engine, now) == 0));
-    assert!(to_new(&traffic, now) > 0);
-    assert!(only_goes_on(&world.history()));
+    assert!(sent_to_new(&traffic, now) > 0);
+    assert!(is_monotonic(&world.history()));
 }
 
-/// A service of which the configuration says that its upstreams are cold for no time at all: there is no pace to keep to, and
-/// a trial that kept to none at all would never end.
+/// Guards against a trial that never ends because it is paced at a rate of 0: a configuration that sets the cold time of
+/// upstreams to zero gives no pace to keep to.
 #[test]
-fn upstreams_that_are_never_cold_are_tried_as_fast_as_others() {
+fn a_trial_with_zero_cold_time_completes() {
     let mut world = fleet();
     world.cold = Some(Cold { time: Duration::ZERO, pace: 0.0 });
     world.configure();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    order(&mut world);
-    world.serve_all(&mut traffic, 20_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 20_000, |_| false);
     assert_eq!(stage(&world), Some(Stage::Completed), "{:?}", world.record());
 }
 
 #[test]
-fn a_bad_version_gets_its_share_at_most_and_soon_nothing() {
+fn a_failing_version_stays_within_its_share_and_is_rolled_back() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
     let (since, before) = (world.now, traffic.requests());
-    order(&mut world);
-    world.serve_all(&mut traffic, 18_000, is_new);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 18_000, is_new);
     assert!(matches!(stage(&world), Some(Stage::RolledBack(Cause::Failing))), "{:?}", world.record());
-    assert!(within_bounds(&world, &traffic, since, before), "{} of {}", to_new(&traffic, since), traffic.requests());
+    assert!(
+        within_bounds(&world, &traffic, since, before),
+        "{} of {}",
+        sent_to_new(&traffic, since),
+        traffic.requests()
+    );
     let now = world.now;
-    world.serve_all(&mut traffic, 3_000, is_new);
-    assert_eq!(to_new(&traffic, now), 0);
+    world.run_with_load(&mut traffic, 3_000, is_new);
+    assert_eq!(sent_to_new(&traffic, now), 0);
 }
 
 #[test]
-fn a_home_whose_way_to_the_store_is_cut_writes_through_others() {
+fn a_home_without_store_access_writes_through_peers() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
     let home = world.home(0);
     world.set_store_cut(home, true);
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    order(&mut world);
-    world.serve_all(&mut traffic, 6_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 6_000, |_| false);
     let (_, record) = world.record().unwrap();
-    assert_eq!(world.home(0), home, "its peers still hear of it");
+    assert_eq!(world.home(0), home, "its peers still reach it");
     assert_eq!(record.writer, format!("r{home}").parse().unwrap());
     assert!(!world.writers().contains(&home));
     let watchers: BTreeSet<_> = world.writers().iter().collect();
     assert!(!watchers.is_empty());
     assert!(record.granted > 0, "{record:?}");
-    assert!(to_new(&traffic, 0) > 0, "what was reserved so is given, too");
+    assert!(sent_to_new(&traffic, 0) > 0, "requests reserved through a peer are granted");
 }
 
 #[test]
-fn the_next_home_goes_on_with_the_account_of_one_that_was_killed() {
+fn the_successor_continues_the_account_of_a_killed_home() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
     let (since, before) = (world.now, traffic.requests());
-    order(&mut world);
+    order_new_version(&mut world);
     let mut writers = BTreeSet::new();
     for _ in 0..3 {
-        world.serve_all(&mut traffic, 2_500, |_| false);
+        world.run_with_load(&mut traffic, 2_500, |_| false);
         writers.extend(world.record().map(|(_, record)| record.writer));
         let home = world.home((0..9).find(|index| world.is_alive(*index)).unwrap());
         world.kill(home);
     }
-    world.serve_all(&mut traffic, 10_000, is_new);
+    world.run_with_load(&mut traffic, 10_000, is_new);
     writers.extend(world.record().map(|(_, record)| record.writer));
     assert!(writers.len() > 1, "{writers:?}");
     assert!(matches!(stage(&world), Some(Stage::RolledBack(_))), "{:?}", world.record());
-    assert!(within_bounds(&world, &traffic, since, before), "{} of {}", to_new(&traffic, since), traffic.requests());
-    assert!(only_goes_on(&world.history()));
+    assert!(
+        within_bounds(&world, &traffic, since, before),
+        "{} of {}",
+        sent_to_new(&traffic, since),
+        traffic.requests()
+    );
+    assert!(is_monotonic(&world.history()));
 }
 
 #[test]
-fn an_order_that_is_taken_away_is_rolled_back_by_the_home() {
+fn the_home_rolls_back_a_withdrawn_order() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    order(&mut world);
-    world.serve_all(&mut traffic, 4_000, |_| false);
-    world.order(None, OVER);
-    world.serve_all(&mut traffic, 2_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 4_000, |_| false);
+    world.set_order(None, ORDER_DEADLINE);
+    world.run_with_load(&mut traffic, 2_000, |_| false);
     assert_eq!(stage(&world), Some(Stage::RolledBack(Cause::Withdrawn)));
     let now = world.now;
-    world.serve_all(&mut traffic, 2_000, |_| false);
-    assert_eq!(to_new(&traffic, now), 0);
+    world.run_with_load(&mut traffic, 2_000, |_| false);
+    assert_eq!(sent_to_new(&traffic, now), 0);
 }
 
 #[test]
-fn a_store_that_is_down_gives_the_version_nothing_until_it_is_back() {
+fn no_requests_go_to_the_version_on_trial_while_the_store_is_down() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    order(&mut world);
-    world.serve_all(&mut traffic, 3_000, |_| false);
-    assert!(to_new(&traffic, 0) > 0);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 3_000, |_| false);
+    assert!(sent_to_new(&traffic, 0) > 0);
     world.set_store_down(true);
-    world.serve_all(&mut traffic, 2_500, |_| false);
+    world.run_with_load(&mut traffic, 2_500, |_| false);
     let now = world.now;
-    world.serve_all(&mut traffic, 3_000, |_| false);
-    assert_eq!(to_new(&traffic, now), 0, "nothing is reserved");
+    world.run_with_load(&mut traffic, 3_000, |_| false);
+    assert_eq!(sent_to_new(&traffic, now), 0, "nothing can be reserved");
     world.set_store_down(false);
     let now = world.now;
-    world.serve_all(&mut traffic, 5_000, |_| false);
-    assert!(to_new(&traffic, now) > 0, "{:?}", world.record());
-    assert!(only_goes_on(&world.history()));
+    world.run_with_load(&mut traffic, 5_000, |_| false);
+    assert!(sent_to_new(&traffic, now) > 0, "{:?}", world.record());
+    assert!(is_monotonic(&world.history()));
 }
 
 #[test]
-fn a_version_that_turns_bad_while_the_store_is_away_goes_nowhere_from_any_router_in_touch() {
+fn a_version_that_fails_during_a_store_outage_gets_no_requests_from_connected_routers() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
-    order(&mut world);
-    // Until the fleet moves: then nothing more is reserved, and only the verdict stops it.
+    world.run_with_load(&mut traffic, 1_000, |_| false);
+    order_new_version(&mut world);
+    // Until the roll-out reaches the moving stage, in which requests need no reservation and only the verdict stops them.
     for _ in 0..400 {
         if stage(&world) == Some(Stage::Moving) {
             break;
         }
-        world.serve_all(&mut traffic, 50, |_| false);
+        world.run_with_load(&mut traffic, 50, |_| false);
     }
     assert_eq!(stage(&world), Some(Stage::Moving), "{:?}", world.record());
-    world.serve_all(&mut traffic, 300, |_| false);
+    world.run_with_load(&mut traffic, 300, |_| false);
     world.set_store_down(true);
-    world.serve_all(&mut traffic, 3_000, is_new);
-    assert_eq!(stage(&world), Some(Stage::Moving), "the store doesn't know");
-    assert!((0..9).all(|index| world.stage(index) == Some(Stage::RolledBack(Cause::Failing))), "every router does");
-    // The home goes, and comes back, and knows nothing but what it is told.
+    world.run_with_load(&mut traffic, 3_000, is_new);
+    assert_eq!(stage(&world), Some(Stage::Moving), "the store doesn't have the verdict");
+    assert!((0..9).all(|index| world.stage(index) == Some(Stage::RolledBack(Cause::Failing))), "every router has it");
+    // The home is killed and restarted: it has only the state that its peers send.
     let home = world.home(0);
     world.kill(home);
-    world.serve_all(&mut traffic, 2_000, is_new);
+    world.run_with_load(&mut traffic, 2_000, is_new);
     world.start(home, 3);
-    world.serve_all(&mut traffic, 2_000, is_new);
+    world.run_with_load(&mut traffic, 2_000, is_new);
     let now = world.now;
-    world.serve_all(&mut traffic, 3_000, is_new);
-    assert_eq!(to_new(&traffic, now), 0);
+    world.run_with_load(&mut traffic, 3_000, is_new);
+    assert_eq!(sent_to_new(&traffic, now), 0);
     world.set_store_down(false);
-    world.serve_all(&mut traffic, 4_000, is_new);
+    world.run_with_load(&mut traffic, 4_000, is_new);
     assert!(matches!(stage(&world), Some(Stage::RolledBack(Cause::Failing))), "{:?}", world.record());
 }
 
 #[test]
-fn after_a_loss_of_all_power_the_account_goes_on() {
+fn the_account_continues_after_a_full_restart() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
     let (since, before) = (world.now, traffic.requests());
-    order(&mut world);
-    world.serve_all(&mut traffic, 4_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 4_000, |_| false);
     let granted = world.record().unwrap().1.granted;
     assert!(granted > 0);
     for index in 0..9 {
@@ -268,81 +280,86 @@
     for index in 0..9 {
         world.start(index, 3);
     }
-    world.serve_all(&mut traffic, 5_000, |_| false);
+    world.run_with_load(&mut traffic, 5_000, |_| false);
     assert!(world.record().unwrap().1.granted >= granted);
-    assert!(only_goes_on(&world.history()));
-    let tried = stage(&world) == Some(Stage::Trial);
-    assert!(!tried || within_bounds(&world, &traffic, since, before));
+    assert!(is_monotonic(&world.history()));
+    let is_trial = stage(&world) == Some(Stage::Trial);
+    assert!(!is_trial || within_bounds(&world, &traffic, since, before));
 }
 
 #[test]
-fn a_home_that_is_cut_off_gives_nothing_more_and_the_next_one_goes_on() {
+fn an_isolated_home_grants_nothing_more_and_its_successor_continues() {
     let mut world = fleet();
     let mut traffic = Traffic::default();
-    world.serve_all(&mut traffic, 1_000, |_| false);
+    world.run_with_load(&mut traffic, 1_000, |_| false);
     let (since, before) = (world.now, traffic.requests());
-    order(&mut world);
-    world.serve_all(&mut traffic, 3_000, is_new);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 3_000, is_new);
     let home = world.home(0);
     for other in (0..9).filter(|other| *other != home) {
         world.set_cut(home, other, true);
     }
-    world.serve_all(&mut traffic, 8_000, is_new);
+    world.run_with_load(&mut traffic, 8_000, is_new);
     for other in (0..9).filter(|other| *other != home) {
         world.set_cut(home, other, false);
     }
-    world.serve_all(&mut traffic, 8_000, is_new);
+    world.run_with_load(&mut traffic, 8_000, is_new);
     assert!(matches!(stage(&world), Some(Stage::RolledBack(_))), "{:?}", world.record());
-    assert!(within_bounds(&world, &traffic, since, before), "{} of {}", to_new(&traffic, since), traffic.requests());
-    assert!(only_goes_on(&world.history()));
+    assert!(
+        within_bounds(&world, &traffic, since, before),
+        "{} of {}",
+        sent_to_new(&traffic, since),
+        traffic.requests()
+    );
+    assert!(is_monotonic(&world.history()));
 }
 
 #[test]
-fn a_home_that_stood_still_gives_nothing_of_what_it_had_reserved() {
+fn a_resumed_home_does_not_use_an_expired_reservation() {
     for pause in [600, 1_500, 2_500, 6_000] {
         let mut world = fleet();
         let mut traffic = Traffic::default();
-        world.serve_all(&mut traffic, 1_000, |_| false);
+        world.run_with_load(&mut traffic, 1_000, |_| false);
         let (since, before) = (world.now, traffic.requests());
-        order(&mut world);
-        world.serve_all(&mut traffic, 3_000, |_| false);
-        assert!(to_new(&traffic, since) > 0);
+        order_new_version(&mut world);
+        world.run_with_load(&mut traffic, 3_000, |_| false);
+        assert!(sent_to_new(&traffic, since) > 0);
         let home = world.home(0);
-        // Right after a reservation, so that most of it is left.
+        // Suspend the home right after a reservation, while most of it is unused.
         let granted = world.record().unwrap().1.granted;
         for _ in 0..400 {
             if world.record().unwrap().1.granted > granted {
                 break;
             }
-            world.serve_all(&mut traffic, 10, |_| false);
+            world.run_with_load(&mut traffic, 10, |_| false);
         }
         world.freeze(home, true);
-        world.serve_all(&mut traffic, pause, is_new);
+        world.run_with_load(&mut traffic, pause, is_new);
         world.freeze(home, false);
         let (now, written) = (world.now, world.record().unwrap());
-        world.serve_all(&mut traffic, 50, is_new);
-        // What was reserved two seconds ago or more is lost, so nothing goes there before another reservation stands.
+        world.run_with_load(&mut traffic, 50, is_new);
+        // A reservation expires after two seconds, so the home grants nothing there before it has made another one.
         let fresh = world.record().unwrap().0 > written.0 || written.1.writer != format!("r{home}").parse().unwrap();
-        assert!(pause < 2_000 || fresh || to_new(&traffic, now) == 0, "{pause} ms");
-        world.serve_all(&mut traffic, 10_000, is_new);
+        assert!(pause < 2_000 || fresh || sent_to_new(&traffic, now) == 0, "{pause} ms");
+        world.run_with_load(&mut traffic, 10_000, is_new);
         assert!(matches!(stage(&world), Some(Stage::RolledBack(Cause::Failing))), "{pause} ms: {:?}", world.record());
         assert!(within_bounds(&world, &traffic, since, before), "{pause} ms");
-        assert!(only_goes_on(&world.history()), "{pause} ms");
+        assert!(is_monotonic(&world.history()), "{pause} ms");
     }
 }
 
 #[test]
-fn who_is_the_home_no_longer_gives_nothing_of_what_it_had_reserved() {
+fn a_former_home_does_not_use_its_reservation() {
     let mut world = fleet_with(1_000.0);
     let mut traffic = Traffic::default();
     let first = world.home(0);
     world.kill(first);
-    world.serve_all(&mut traffic, 6_000, |_| false);
-    order(&mut world);
-    world.serve_all(&mut traffic, 6_000, |_| false);
+    world.run_with_load(&mut traffic, 6_000, |_| false);
+    order_new_version(&mut world);
+    world.run_with_load(&mut traffic, 6_000, |_| false);
     let second = world.home((first + 1) % 9);
-    assert!(second != first && to_new(&traffic, 0) > 0);
-    // Nothing asks for a while, so something is left of what the second one reserves; and the first home is back.
+    assert!(second != first && sent_to_new(&traffic, 0) > 0);
+    // No requests arrive for a while, so that part of the second home's reservation is unused when the first home returns.
     let granted = world.record().unwrap().1.granted;
     for _ in 0..600 {
         if world.record().unwrap().1.granted > granted {
@@ -350,7 +367,7 @@
         }
         world.run(5);
     }
-    assert!(world.record().unwrap().1.granted > granted, "something was reserved while nothing asked");
+    assert!(world.record().unwrap().1.granted > granted, "the home made a reservation while there were no requests");
     world.start(first, 3);
     let started = world.now;
     for _ in 0..400 {
@@ -359,21 +376,21 @@
         }
         world.run(5);
     }
-    assert!(world.now - started < 1_500, "what was reserved still counts");
+    assert!(world.now - started < 1_500, "the reservation must not have expired");
     assert_eq!(world.home(second), first);
     world.run(50);
     for number in 0..30 {
-        world.ask_self(second, number, &[]);
+        world.decide_locally(second, number, &[]);
     }
     let places: BTreeSet<_> = (0..30).filter_map(|number| world.granted(second, number)).collect();
     assert!(!places.is_empty());
     assert!(NEW.iter().all(|engine| !places.contains(&format!("e{engine}").parse().unwrap())), "{places:?}");
 }
 
-/// Something fails, or is mended.
-fn trouble(world: &mut World, router: u8, what: u8) {
+/// Injects a fault or ends one, as chosen by `action`.
+fn inject_fault(world: &mut World, router: u8, action: u8) {
     let index = usize::from(router) % 9;
-    match what % 12 {
+    match action % 12 {
         0 => world.set_store_down(true),
         1 => world.set_store_down(false),
         2 => world.kill(world.home(index)),
@@ -383,20 +400,20 @@
             }
         }),
         4 => world.set_cut(index, (index + 1) % 9, router.is_multiple_of(2)),
-        5 => world.trouble = Trouble::Lost,
-        6 => world.trouble = Trouble::Late,
-        7 => world.trouble = Trouble::Busy,
+        5 => world.record_fault = Fault::Lost,
+        6 => world.record_fault = Fault::Late,
+        7 => world.record_fault = Fault::Busy,
         8 => (0..9).for_each(|other| world.set_cut(world.home(index), other, router.is_multiple_of(2))),
         9 => world.freeze(world.home(index), true),
         10 => (0..9).for_each(|index| world.freeze(index, false)),
-        _ => world.trouble = Trouble::None,
+        _ => world.record_fault = Fault::None,
     }
 }
 
-/// All is mended.
-fn mend(world: &mut World) {
+/// Ends all faults.
+fn end_faults(world: &mut World) {
     world.set_store_down(false);
-    world.trouble = Trouble::None;
+    world.record_fault = Fault::None;
     for index in 0..9 {
         world.freeze(index, false);
         if !world.is_alive(index) {
@@ -407,46 +424,47 @@
 }
 
 quickcheck! {
-    /// Whatever happens to homes, ways and the store: records only go on, what is over stays so, and a bad version gets no more
-    /// than the bound allows.
-    fn whatever_fails_a_bad_version_gets_its_share_at_most(troubles: Vec<(u8, u8)>, from: u8, slack: u8) -> bool {
+    /// Under any faults of homes, links and the store, records are monotonic, a finished roll-out stays finished, and a failing
+    /// version gets no more requests than the bound allows.
+    fn a_failing_version_stays_within_its_share_under_any_faults(faults: Vec<(u8, u8)>, from: u8, slack: u8) -> bool {
         let mut world = fleet_with(f64::from(slack % 3) * 50.0);
         let mut traffic = Traffic::default();
-        world.serve_all(&mut traffic, 1_000, |_| false);
+        world.run_with_load(&mut traffic, 1_000, |_| false);
         let (since, before) = (world.now, traffic.requests());
-        order(&mut world);
-        // Bad from the start, or from some time on.
-        let bad_from = world.now + u64::from(from % 8) * 500;
-        for (router, what) in troubles.into_iter().take(30) {
-            trouble(&mut world, router, what);
-            let bad = world.now >= bad_from;
-            world.serve_all(&mut traffic, 500, |engine| bad && is_new(engine));
+        order_new_version(&mut world);
+        // The version fails from the start, or from some later time on.
+        let failing_from = world.now + u64::from(from % 8) * 500;
+        for (router, action) in faults.into_iter().take(30) {
+            inject_fault(&mut world, router, action);
+            let failing = world.now >= failing_from;
+            world.run_with_load(&mut traffic, 500, |engine| failing && is_new(engine));
         }
         let fits = within_bounds(&world, &traffic, since, before);
         let history = world.history();
-        fits && only_goes_on(&history)
+        fits && is_monotonic(&history)
     }
 
-    /// Whatever fails for a while: once it is mended the roll-out ends, the same for all, and a good version isn't found bad.
-    fn whatever_fails_a_roll_out_ends(troubles: Vec<(u8, u8)>, good: bool) -> bool {
+    /// After any faults have ended, the roll-out ends with the same stage at all routers, and a healthy version isn't rolled back
+    /// as failing.
+    fn a_roll_out_ends_after_any_faults(faults: Vec<(u8, u8)>, healthy: bool) -> bool {
         let mut world = fleet_with(50.0);
         let mut traffic = Traffic::default();
-        world.serve_all(&mut traffic, 1_000, |_| false);
-        order(&mut world);
-        let is_bad = |engine| !good && is_new(engine);
-        for (router, what) in troubles.into_iter().take(20) {
-            trouble(&mut world, router, what);
-            world.serve_all(&mut traffic, 500, is_bad);
+        world.run_with_load(&mut traffic, 1_000, |_| false);
+        order_new_version(&mut world);
+        let is_failing = |engine| !healthy && is_new(engine);
+        for (router, action) in faults.into_iter().take(20) {
+            inject_fault(&mut world, router, action);
+            world.run_with_load(&mut traffic, 500, is_failing);
         }
-        mend(&mut world);
-        world.serve_all(&mut traffic, 45_000, is_bad);
+        end_faults(&mut world);
+        world.run_with_load(&mut traffic, 45_000, is_failing);
         let last = stage(&world);
-        let right = match last {
-            Some(Stage::Completed) => good,
-            Some(Stage::RolledBack(Cause::Failing | Cause::Slow)) => !good,
+        let is_expected = match last {
+            Some(Stage::Completed) => healthy,
+            Some(Stage::RolledBack(Cause::Failing | Cause::Slow)) => !healthy,
             Some(Stage::RolledBack(Cause::Unproven)) => true,
             Some(Stage::RolledBack(Cause::Withdrawn | Cause::Missing) | Stage::Trial | Stage::Moving) | None => false,
         };
-        right && (0..9).all(|index| world.stage(index) == last) && only_goes_on(&world.history())
+        is_expected && (0..9).all(|index| world.stage(index) == last) && is_monotonic(&world.history())
     }
 }
--- a/crates/stairvale-serve/tests/traffic.rs
+++ b/crates/stairvale-serve/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes are counted by what they are and by the zones that they pass between.
+//! Byte counts by kind of message and by the pair of zones, and how they appear in the metrics.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn a_zone_is_looked_up_once_it_is_known_and_not_remembered_before() {
+fn a_zone_is_cached_only_once_it_is_known() {
     let traffic = Traffic::new(zone("a"));
     let to: SocketAddr = "10.0.0.1:7000".parse().unwrap();
     traffic.count_to(Kind::Datagram, to, 1, || None);
     traffic.count_to(Kind::Datagram, to, 2, || Some(zone("b")));
-    traffic.count_to(Kind::Datagram, to, 4, || unreachable!("it is remembered"));
+    traffic.count_to(Kind::Datagram, to, 4, || unreachable!("the zone is cached"));
     assert_eq!(traffic.totals(), "datagram/=1 datagram/b=6");
 }
 
 #[test]
-fn heads_are_as_long_as_they_are_written() {
+fn head_lengths_match_the_written_heads() {
     let request = Request::get("http://h.example/path?query").header("host", "h.example").body(()).unwrap();
     assert_eq!(request_head(&request), "GET /path?query HTTP/1.1\r\nhost: h.example\r\n\r\n".len());
     let mut headers = HeaderMap::new();
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! Routers, a store and the ways between them, in time that only the test moves.
+//! A deterministic simulation of routers, the store and the network between them. Time advances only when a test calls
+//! [`World::run`].
 
-// Each file of tests uses a part of it.
+// Each test file is a crate of its own and uses only some of these items.
 #![allow(dead_code)]
 
 pub mod records;
@@ -26,16 +27,16 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::{Member, Packet, Status, codec};
 
-/// One step of time, in ms.
-const STEP: u64 = 5;
-/// A way between two routers, in ms.
-const WAY: u64 = 2;
-/// A call to a store that can't be reached is given up after its wait and this, in ms.
-const SILENCE: u64 = 1_200;
-/// How often a router looks whether it is to read the store, in ms.
-const LOOK: u64 = 25;
-/// Pause after a failed call, in ms.
-const PAUSE: u64 = 200;
+/// Resolution of the simulated clock, in ms.
+const STEP_MS: u64 = 5;
+/// One-way delay between two routers of the same zone, in ms; also the default between zones.
+const LINK_DELAY_MS: u64 = 2;
+/// A call to an unreachable store times out this long after its requested wait has passed, in ms.
+const CALL_TIMEOUT_MS: u64 = 1_200;
+/// How often an idle router checks whether it has to read the store, in ms.
+const ROLE_CHECK_INTERVAL_MS: u64 = 25;
+/// Delay after a failed call to the store, in ms.
+const RETRY_DELAY_MS: u64 = 200;
 
 #[derive(Clone, Debug)]
 enum Message {
@@ -43,105 +44,106 @@
     Packet(SocketAddr, Packet),
 }
 
-/// A call to the store that hasn't ended.
+/// An outstanding call to the store.
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    asked: u64,
-    until: u64,
+    started_at: u64,
+    wait_until: u64,
     reading: Reading,
 }
 
-/// One router.
+/// A simulated router process.
 pub struct Node {
-    /// Its decisions.
+    /// The state machine under test.
     pub core: Core,
-    /// What homes said to its requests.
+    /// The last reply that this router got to each of its permit requests.
     pub replies: HashMap<id::Attempt, Reply>,
-    /// Engines that it wants inspected.
+    /// Engines whose prefix cache this router requested to be inspected.
     pub inspected: Vec<id::Upstream>,
-    /// Calls to the store at its full price.
-    pub reads: usize,
-    /// Reads of a stale state.
-    pub stale: usize,
-    /// When its process started; its clock begins then, as a process's does.
-    born: u64,
+    /// Calls that wait at the store for changes; these cost the store the most.
+    pub watch_calls: usize,
+    /// Reads that the store may answer from a stale replica.
+    pub stale_reads: usize,
+    /// When the process started, in ms of the world's time; the router's own clock is 0 then, like that of a real process.
+    started_at: u64,
     alive: bool,
-    /// Whether its process stands still.
+    /// Whether the process is suspended.
     frozen: bool,
     call: Option<Call>,
-    rest_until: u64,
+    next_poll_at: u64,
 }
 
 impl Node {
-    /// A moment on its own clock.
-    pub fn local(&self, millis: u64) -> Moment {
-        Moment::from_millis(millis - self.born)
+    /// Converts a time of the world, in ms, to the router's own clock.
+    pub fn local_time(&self, millis: u64) -> Moment {
+        Moment::from_millis(millis - self.started_at)
     }
 }
 
-/// The world.
+/// The simulated fleet with its store and network.
 pub struct World {
-    /// Now, in ms.
+    /// The current time, in ms.
     pub now: u64,
-    /// The routers.
+    /// The router processes, by index.
     pub nodes: Vec<Node>,
-    /// What must hold.
+    /// The guarantees that routers are configured with when they start.
     pub bounds: Bounds,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     messages: HashMap<u64, Message>,
     sent: u64,
     store: Vec<Item>,
-    /// What the store's answers tell as its epoch; 0 if nothing.
+    /// The epoch that the store's answers carry; 0 if they carry none.
     epoch: u64,
-    /// Routers whose build doesn't read that.
-    pub plain: BTreeSet<usize>,
-    /// Up to this revision changes are no longer known one by one.
-    forgotten: u64,
-    /// Versions of the configuration, with the time of their acknowledgement.
-    pub versions: Vec<(u64, u64)>,
-    /// Requests that an engine runs at once.
+    /// Routers of an earlier build, which ignores epochs.
+    pub without_epochs: BTreeSet<usize>,
+    /// The store's history is compacted up to this revision: earlier changes can't be read one by one.
+    compacted_to: u64,
+    /// Versions of the configuration, each with the time, in ms, at which the store acknowledged it.
+    pub config_versions: Vec<(u64, u64)>,
+    /// Requests that an engine runs concurrently, as registered in the store.
     pub slots: u32,
-    /// What cold engines bear, by the configuration.
+    /// The load limit of cold engines in the configurations that are written from now on.
     pub cold: Option<Cold>,
-    /// How long a stale read of the store takes the first router of each zone, in ms; the next ones take as much longer each.
-    pub stale_takes: u64,
-    /// Changes that stale reads of the store don't show yet.
-    pub lag: usize,
-    /// Times that names of routers were written.
-    pub writes: usize,
+    /// How long a stale read of the store takes the first router of each zone, in ms. For each further router of the zone it
+    /// takes longer by the same amount.
+    pub stale_read_ms: u64,
+    /// The number of changes by which stale reads lag behind the store.
+    pub stale_read_lag: usize,
+    /// How often a reader has written router registrations to the store.
+    pub registration_writes: usize,
     strengths: Vec<u32>,
     zones: usize,
-    /// What readers want written, and since when.
-    names: HashMap<usize, (Naming, u64)>,
-    /// Frames that carried changes of the store from one router to another.
-    pub told: usize,
-    /// Requests whose upstream's life was over, and the routers that were told so by themselves.
-    pub over: Vec<(usize, id::Attempt)>,
-    /// Requests that were found to be the cause of upstreams' ends.
-    pub found: Vec<id::Fingerprint>,
-    /// Whether a customer went above its share, or was no longer, each time that a home told.
+    /// Registration changes that a reader wants to write, by its index, with the time since when it wants the same.
+    pending_registrations: HashMap<usize, (Naming, u64)>,
+    /// Frames sent between routers that carried changes of the store.
+    pub update_frames: usize,
+    /// Running requests whose upstream's incarnation ended, each with the router that terminated it.
+    pub terminated: Vec<(usize, id::Attempt)>,
+    /// Fingerprints of requests that were quarantined because upstreams terminated under them.
+    pub quarantined: Vec<id::Fingerprint>,
+    /// Each report of a home about a customer's surplus: whether the customer is above its share.
     pub surpluses: Vec<bool>,
-    /// Bytes sent, by what they are about, if that is counted.
-    counted: Option<BTreeMap<&'static str, usize>>,
-    /// The same of what went to another zone.
-    crossed: BTreeMap<&'static str, usize>,
-    /// The same by sender, whatever it was about.
-    senders: HashMap<usize, usize>,
-    /// The way between two routers of different zones, in ms.
-    pub far: u64,
-    cut: BTreeSet<(usize, usize)>,
+    /// Bytes sent, by kind of message; `None` if they aren't counted.
+    bytes_by_kind: Option<BTreeMap<&'static str, usize>>,
+    /// Bytes sent to another zone, by kind of message.
+    cross_zone_bytes: BTreeMap<&'static str, usize>,
+    /// Bytes sent, by the index of the sending router.
+    bytes_by_sender: HashMap<usize, usize>,
+    /// One-way delay between two routers of different zones, in ms.
+    pub cross_zone_delay: u64,
+    cut_links: BTreeSet<(usize, usize)>,
     cut_from_store: BTreeSet<usize>,
-    /// What is wrong with changes of records.
-    pub trouble: records::Trouble,
+    /// The fault that affects writes of roll-out records.
+    pub record_fault: records::Fault,
     records: records::Records,
 }
 
-/// A revision of an epoch.
-fn stamp(epoch: u64, number: u64) -> u64 {
+/// The encoded revision with this number in an epoch.
+fn epoch_revision(epoch: u64, number: u64) -> u64 {
     Revision::new(epoch, number).unwrap().into()
 }
 
-fn name(index: usize) -> id::Router {
+fn router_id(index: usize) -> id::Router {
     format!("r{index}").parse().unwrap()
 }
 
@@ -155,26 +157,26 @@
     SocketAddr::from(([10, 1, high, low], 80))
 }
 
-/// What a frame is about, for counting.
-fn kind(frame: &Frame) -> &'static str {
+/// The kind under which a frame's bytes are counted.
+fn frame_kind(frame: &Frame) -> &'static str {
     match frame {
-        Frame::Ask { .. } => "ask",
+        Frame::Ask { .. } => "permit request",
         Frame::Decided { .. } | Frame::Waits { .. } => "decided",
         Frame::Forget { .. } | Frame::Begun { .. } | Frame::Release { .. } => "end",
         Frame::Renew { .. } => "renew",
         Frame::Prefixes { .. } => "prefixes",
         Frame::Read { .. } => "read",
         Frame::Sync(_) => "sync",
-        Frame::Synced { news: Some(_), .. } => "synced with news",
+        Frame::Synced { news: Some(_), .. } => "synced with update",
         Frame::Synced { .. } => "synced",
-        Frame::News(_) | Frame::Relay { .. } => "news",
+        Frame::News(_) | Frame::Relay { .. } => "update",
         Frame::Write { .. } | Frame::Written { .. } | Frame::Condemned { .. } => "rollout",
         Frame::Evidence { .. } | Frame::Quarantined { .. } => "quarantine",
     }
 }
 
-/// The router at an address, if it is one's.
-fn at(address: SocketAddr) -> Option<usize> {
+/// The index of the router at an address; `None` if it can't be a router's address.
+fn index_at(address: SocketAddr) -> Option<usize> {
     let std::net::IpAddr::V4(ip) = address.ip() else {
         return None;
     };
@@ -183,12 +185,13 @@
 }
 
 impl World {
-    /// Routers that are alike spread over zones, and a store with a first configuration and some engines.
+    /// Creates a fleet of equally strong routers, spread evenly over the zones, and a store that holds a first configuration and
+    /// the given number of ready engines, also spread over the zones.
     pub fn new(routers: usize, zones: usize, engines: usize) -> Self {
         Self::with_strengths(vec![Member::ALIKE; routers], zones, engines)
     }
 
-    /// The same with VMs of these strengths.
+    /// Creates a fleet like [`World::new`], with one router for each of these VM strengths.
     pub fn with_strengths(strengths: Vec<u32>, zones: usize, engines: usize) -> Self {
         let routers = strengths.len();
         let bounds = Bounds::default();
@@ -201,28 +204,28 @@
             sent: 0,
             store: Vec::new(),
             epoch: 0,
-            plain: BTreeSet::new(),
-            forgotten: 0,
-            versions: Vec::new(),
+            without_epochs: BTreeSet::new(),
+            compacted_to: 0,
+            config_versions: Vec::new(),
             slots: 8,
             cold: None,
-            stale_takes: 0,
-            lag: 0,
-            writes: 0,
+            stale_read_ms: 0,
+            stale_read_lag: 0,
+            registration_writes: 0,
             strengths,
             zones,
-            names: HashMap::new(),
-            told: 0,
-            found: Vec::new(),
-            over: Vec::new(),
+            pending_registrations: HashMap::new(),
+            update_frames: 0,
+            quarantined: Vec::new(),
+            terminated: Vec::new(),
             surpluses: Vec::new(),
-            counted: None,
-            crossed: BTreeMap::new(),
-            senders: HashMap::new(),
-            far: WAY,
-            cut: BTreeSet::new(),
+            bytes_by_kind: None,
+            cross_zone_bytes: BTreeMap::new(),
+            bytes_by_sender: HashMap::new(),
+            cross_zone_delay: LINK_DELAY_MS,
+            cut_links: BTreeSet::new(),
             cut_from_store: BTreeSet::new(),
-            trouble: records::Trouble::None,
+            record_fault: records::Fault::None,
             records: records::Records::default(),
         };
         for index in 0..routers {
@@ -232,13 +235,13 @@
                 core,
                 replies,
                 inspected,
-                reads: 0,
-                stale: 0,
-                born: 0,
+                watch_calls: 0,
+                stale_reads: 0,
+                started_at: 0,
                 alive: true,
                 frozen: false,
                 call: None,
-                rest_until: 0,
+                next_poll_at: 0,
             });
         }
         world.configure();
@@ -248,24 +251,24 @@
         world
     }
 
-    fn core(&self, index: usize, zones: usize, life: u64) -> Core {
+    fn core(&self, index: usize, zones: usize, incarnation: u64) -> Core {
         let me = Member {
-            router: name(index),
+            router: router_id(index),
             zone: format!("z{}", index % zones).parse().unwrap(),
             address: address(index),
-            incarnation: id::Incarnation(life),
+            incarnation: id::Incarnation(incarnation),
             status: Status::Alive,
             strength: self.strengths[index],
         };
-        Core::new(me, vec![address(0), address(1)], self.bounds, index as u64 + 77 * life)
+        Core::new(me, vec![address(0), address(1)], self.bounds, index as u64 + 77 * incarnation)
     }
 
     // ------------------------------------------------------------------------
-    // The store.
+    // Store.
 
-    /// The operator writes a new configuration.
+    /// Writes a configuration with a higher version to the store, as the operator does.
     pub fn configure(&mut self) {
-        let version = self.versions.last().map_or(0, |(version, _)| *version) + 3;
+        let version = self.config_versions.last().map_or(0, |(version, _)| *version) + 3;
         let engine = Engine { slots: 8, memory: 200_000, copies: true };
         let service =
             Service { name: "chat".parse().unwrap(), connections: 100, engine: Some(engine), cold: self.cold };
@@ -276,16 +279,16 @@
             regions: Vec::new(),
         };
         let document = Document { version, services: vec![service], customers: vec![customer], ..Document::default() };
-        self.versions.push((version, self.now));
+        self.config_versions.push((version, self.now));
         self.put(Subject::Configuration, Some(Value::Configuration(Arc::new(document))));
     }
 
-    /// An engine appears, changes its state, or goes.
+    /// Writes an engine's entry with this state to the store; `None` removes it.
     pub fn put_engine(&mut self, engine: usize, zone: usize, state: Option<State>) {
         self.write_engine(engine, zone, state, Duration::ZERO, None);
     }
 
-    /// An engine says that it is cold for so much longer.
+    /// Writes the entry of a ready engine that reports to stay cold for this much longer.
     pub fn put_cold_engine(&mut self, engine: usize, zone: usize, cold: Duration) {
         self.write_engine(engine, zone, Some(State::Ready), cold, None);
     }
@@ -314,8 +317,8 @@
         self.put(Subject::Upstream(id), value);
     }
 
-    /// An engine's process starts, maybe under the name of one that ran before: its entry tells when.
-    pub fn begin_engine(&mut self, engine: usize, zone: usize, start: u64) {
+    /// Registers an engine whose entry carries its process's start time. An earlier incarnation of the same name is replaced.
+    pub fn start_engine(&mut self, engine: usize, zone: usize, start: u64) {
         let name: id::Upstream = format!("e{engine}").parse().unwrap();
         let upstream = Upstream {
             id: name.with_start(start),
@@ -330,22 +333,22 @@
         self.put(Subject::Upstream(name), Some(Value::Upstream(upstream)));
     }
 
-    /// A zone is evacuated, or taken back into use.
+    /// Evacuates a zone, or takes it back into use.
     pub fn evacuate(&mut self, zone: usize, evacuated: bool) {
         let subject = Subject::Evacuation(format!("z{zone}").parse().unwrap());
         self.put(subject, evacuated.then_some(Value::Evacuation));
     }
 
-    /// The store forgets how it came to hold what it holds: readers are given all of it.
-    pub fn forget_history(&mut self) {
-        self.forgotten = self.store.len() as u64;
+    /// Compacts the store's history: readers whose revision is older get the complete state instead of changes.
+    pub fn compact_store(&mut self) {
+        self.compacted_to = self.store.len() as u64;
     }
 
-    /// A router's entry in the store.
-    pub fn name_router(&mut self, index: usize) {
+    /// Writes a router's registration to the store.
+    pub fn register_router(&mut self, index: usize) {
         let zone = format!("z{}", index % self.zones).parse().unwrap();
-        let router = Router { id: name(index), zone, address: address(index), strength: self.strengths[index] };
-        self.put(Subject::Router(name(index)), Some(Value::Router(router)));
+        let router = Router { id: router_id(index), zone, address: address(index), strength: self.strengths[index] };
+        self.put(Subject::Router(router_id(index)), Some(Value::Router(router)));
     }
 
     fn put(&mut self, subject: Subject, value: Option<Value>) {
@@ -353,19 +356,20 @@
         self.store.push(Item::new(subject, revision, value));
     }
 
-    /// Lets a router that reads the store for the fleet name others in it, once it wants the same for long enough.
-    fn write_names(&mut self, index: usize) {
-        let naming = self.nodes[index].core.naming(self.local(index));
+    /// Writes the registrations that the fleet's reader wants, once it has wanted the same ones for its settling time.
+    fn write_registrations(&mut self, index: usize) {
+        let naming = self.nodes[index].core.naming(self.local_time(index));
         if naming.is_empty() || self.cut_from_store.contains(&index) {
-            self.names.remove(&index);
+            self.pending_registrations.remove(&index);
             return;
         }
-        let (wanted, since) = self.names.entry(index).or_insert_with(|| (naming.clone(), self.now)).clone();
-        if wanted != naming {
-            self.names.insert(index, (naming, since));
+        let (pending, since) =
+            self.pending_registrations.entry(index).or_insert_with(|| (naming.clone(), self.now)).clone();
+        if pending != naming {
+            self.pending_registrations.insert(index, (naming, since));
         } else if Duration::from_millis(self.now - since) >= self.nodes[index].core.naming_settles() {
-            self.names.remove(&index);
-            self.writes += 1;
+            self.pending_registrations.remove(&index);
+            self.registration_writes += 1;
             for router in naming.put {
                 self.put(Subject::Router(router.id.clone()), Some(Value::Router(router)));
             }
@@ -375,152 +379,155 @@
         }
     }
 
-    /// From now on the store's answers tell an epoch.
-    pub fn tell_epochs(&mut self) {
+    /// Makes the store's answers carry an epoch from now on.
+    pub fn enable_epochs(&mut self) {
         self.epoch = 1;
     }
 
-    /// The store comes back without its last changes, and gives out their revisions again.
+    /// Restores the store from a copy that lacks the last `lost` changes: their revisions are assigned again, in a new epoch.
     pub fn restore(&mut self, lost: usize) {
         self.store.truncate(self.store.len().saturating_sub(lost));
         self.epoch += 1;
     }
 
-    /// The epoch that a router reads.
+    /// The epoch that a router sees in the store's answers: 0 for an earlier build.
     fn epoch_for(&self, index: usize) -> u64 {
-        if self.plain.contains(&index) { 0 } else { self.epoch }
+        if self.without_epochs.contains(&index) { 0 } else { self.epoch }
     }
 
-    fn changes(&self, index: usize, after: u64) -> News {
+    fn changes_since(&self, index: usize, after: u64) -> News {
         let (epoch, since) = (self.epoch_for(index), Revision::from(after));
-        let lacks = since.number() < self.forgotten || since.number() > self.store.len() as u64;
-        if since.epoch() != epoch || lacks || epoch > 0 && since.number() == 0 {
-            return self.held(epoch, self.store.len());
+        let compacted = since.number() < self.compacted_to || since.number() > self.store.len() as u64;
+        if since.epoch() != epoch || compacted || epoch > 0 && since.number() == 0 {
+            return self.snapshot(epoch, self.store.len());
         }
         let later = self.store.iter().filter(|item| item.revision > since.number()).cloned();
-        let items = later.map(|item| Item { revision: stamp(epoch, item.revision), ..item }).collect();
-        News::Changes { after, to: stamp(epoch, self.store.len() as u64), items }
+        let items = later.map(|item| Item { revision: epoch_revision(epoch, item.revision), ..item }).collect();
+        News::Changes { after, to: epoch_revision(epoch, self.store.len() as u64), items }
     }
 
-    /// All that the store held some changes ago, before all that is known to be of its epoch.
-    fn stale(&self, index: usize) -> News {
+    /// The complete state of a stale replica of the store. Its revisions have number 0, so they sort before every confirmed
+    /// revision of the epoch.
+    fn stale_snapshot(&self, index: usize) -> News {
         let epoch = self.epoch_for(index);
-        let mut news = self.held(epoch, self.store.len().saturating_sub(self.lag));
+        let mut news = self.snapshot(epoch, self.store.len().saturating_sub(self.stale_read_lag));
         if let (News::Everything { to, items }, true) = (&mut news, epoch > 0) {
-            *to = stamp(epoch, 0);
-            items.iter_mut().for_each(|item| item.revision = stamp(epoch, 0));
+            *to = epoch_revision(epoch, 0);
+            items.iter_mut().for_each(|item| item.revision = epoch_revision(epoch, 0));
         }
         news
     }
 
-    /// All that the store held after so many changes.
-    fn held(&self, epoch: u64, to: usize) -> News {
+    /// The complete state of the store after its first `to` changes.
+    fn snapshot(&self, epoch: u64, to: usize) -> News {
         let mut items = BTreeMap::new();
         for item in &self.store[..to] {
             items.insert(item.subject.clone(), item.clone());
         }
-        let standing = items.into_values().filter(|item| item.value.is_some());
-        let items = standing.map(|item| Item { revision: stamp(epoch, item.revision), ..item }).collect();
-        News::Everything { to: stamp(epoch, to as u64), items }
+        let present = items.into_values().filter(|item| item.value.is_some());
+        let items = present.map(|item| Item { revision: epoch_revision(epoch, item.revision), ..item }).collect();
+        News::Everything { to: epoch_revision(epoch, to as u64), items }
     }
 
     fn poll_store(&mut self, index: usize) {
-        let (now, revision) = (self.now, stamp(self.epoch_for(index), self.store.len() as u64));
+        let (now, revision) = (self.now, epoch_revision(self.epoch_for(index), self.store.len() as u64));
         let cut = self.cut_from_store.contains(&index);
         let node = &mut self.nodes[index];
         let Some(call) = node.call else {
-            if now < node.rest_until {
+            if now < node.next_poll_at {
                 return;
             }
-            if let Some(reading) = node.core.reading(node.local(now)) {
+            if let Some(reading) = node.core.reading(node.local_time(now)) {
                 let wait = match reading {
-                    Reading::Stale => Duration::from_millis(self.stale_takes * (index as u64 + 1) / self.zones as u64),
+                    Reading::Stale => {
+                        Duration::from_millis(self.stale_read_ms * (index as u64 + 1) / self.zones as u64)
+                    }
                     Reading::Changes(wait) => wait,
                     Reading::Names => Duration::ZERO,
                 };
                 match reading {
                     Reading::Names => {}
-                    Reading::Stale => node.stale += 1,
-                    Reading::Changes(_) => node.reads += 1,
+                    Reading::Stale => node.stale_reads += 1,
+                    Reading::Changes(_) => node.watch_calls += 1,
                 }
-                let until = now + u64::try_from(wait.as_millis()).unwrap();
-                node.call = Some(Call { asked: now, until, reading });
+                let wait_until = now + u64::try_from(wait.as_millis()).unwrap();
+                node.call = Some(Call { started_at: now, wait_until, reading });
             } else {
-                node.rest_until = now + LOOK;
+                node.next_poll_at = now + ROLE_CHECK_INTERVAL_MS;
             }
             return;
         };
         if cut {
-            if now >= call.until + SILENCE {
+            if now >= call.wait_until + CALL_TIMEOUT_MS {
                 node.call = None;
-                node.rest_until = now + PAUSE;
-                node.core.disturbed(node.local(now));
+                node.next_poll_at = now + RETRY_DELAY_MS;
+                node.core.disturbed(node.local_time(now));
             }
             return;
         }
-        let known = node.core.view().revision();
+        let revision_held = node.core.view().revision();
         if call.reading == Reading::Names {
             node.call = None;
-            let (News::Changes { items, .. } | News::Everything { items, .. }) = self.stale(index);
+            let (News::Changes { items, .. } | News::Everything { items, .. }) = self.stale_snapshot(index);
             let names = items.into_iter().filter(|item| matches!(item.subject, Subject::Router(_))).collect();
-            let now = self.local(index);
+            let now = self.local_time(index);
             let effects = self.nodes[index].core.read_names(now, names);
             return self.perform(index, effects);
         }
         if call.reading == Reading::Stale {
-            if now < call.until {
+            if now < call.wait_until {
                 return;
             }
             node.call = None;
-            let news = self.stale(index);
-            let now = self.local(index);
+            let news = self.stale_snapshot(index);
+            let now = self.local_time(index);
             let effects = self.nodes[index].core.read_stale(now, news);
             return self.perform(index, effects);
         }
-        if revision > known || now >= call.until {
+        if revision > revision_held || now >= call.wait_until {
             node.call = None;
-            let news = self.changes(index, known);
-            let (now, asked) = (self.local(index), self.nodes[index].local(call.asked));
-            let effects = self.nodes[index].core.read(now, asked, news);
+            let news = self.changes_since(index, revision_held);
+            let (now, requested_at) = (self.local_time(index), self.nodes[index].local_time(call.started_at));
+            let effects = self.nodes[index].core.read(now, requested_at, news);
             self.perform(index, effects);
         }
     }
 
     // ------------------------------------------------------------------------
-    // Trouble.
+    // Faults.
 
-    /// The names that the store holds.
-    pub fn named(&self) -> BTreeSet<id::Router> {
-        let mut named = BTreeSet::new();
+    /// The routers that are registered in the store.
+    pub fn registered(&self) -> BTreeSet<id::Router> {
+        let mut registered = BTreeSet::new();
         for item in &self.store {
             if let Subject::Router(router) = &item.subject {
                 if item.value.is_some() {
-                    named.insert(router.clone());
+                    registered.insert(router.clone());
                 } else {
-                    named.remove(router);
+                    registered.remove(router);
                 }
             }
         }
-        named
+        registered
     }
 
-    /// The store is down for everybody, or up again.
+    /// Makes the store unreachable for all routers, or reachable again.
     pub fn set_store_down(&mut self, down: bool) {
         self.cut_from_store = if down { (0..self.nodes.len()).collect() } else { BTreeSet::new() };
     }
 
-    /// Cuts the way between two routers, or mends it.
+    /// Partitions two routers from each other, or ends the partition.
     pub fn set_cut(&mut self, a: usize, b: usize, cut: bool) {
         for pair in [(a, b), (b, a)] {
             if cut {
-                self.cut.insert(pair);
+                self.cut_links.insert(pair);
             } else {
-                self.cut.remove(&pair);
+                self.cut_links.remove(&pair);
             }
         }
     }
 
-    /// Cuts a router from the store, or mends that.
+    /// Makes the store unreachable for one router, or reachable again.
     pub fn set_store_cut(&mut self, index: usize, cut: bool) {
         if cut {
             self.cut_from_store.insert(index);
@@ -529,24 +536,24 @@
         }
     }
 
-    /// A router is killed, without a word.
+    /// Kills a router's process without a shutdown.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].alive = false;
     }
 
-    /// A router's process stands still, or goes on: its clock went on all the time.
+    /// Suspends a router's process, or resumes it. Its clock advances meanwhile.
     pub fn freeze(&mut self, index: usize, frozen: bool) {
         self.nodes[index].frozen = frozen;
     }
 
-    /// A router is told to stop; it still runs until it is killed.
+    /// Begins a router's graceful shutdown; the process runs until it is killed.
     pub fn stop(&mut self, index: usize) {
-        let now = self.local(index);
+        let now = self.local_time(index);
         let effects = self.nodes[index].core.leave(now);
         self.perform(index, effects);
     }
 
-    /// A killed router starts again and knows nothing.
+    /// Starts a router's process anew, without any state of the one before.
     pub fn start(&mut self, index: usize, zones: usize) {
         let core = self.core(index, zones, self.now + 2);
         let (replies, inspected) = (HashMap::new(), Vec::new());
@@ -554,38 +561,38 @@
             core,
             replies,
             inspected,
-            reads: 0,
-            stale: 0,
-            born: self.now,
+            watch_calls: 0,
+            stale_reads: 0,
+            started_at: self.now,
             alive: true,
             frozen: false,
             call: None,
-            rest_until: 0,
+            next_poll_at: 0,
         };
     }
 
     // ------------------------------------------------------------------------
-    // Time.
+    // Simulation.
 
-    /// Lets time pass.
+    /// Advances the time, and delivers messages, store answers and ticks that are due.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             self.deliver();
-            self.answer_writes();
+            self.deliver_write_results();
             for index in 0..self.nodes.len() {
                 if !self.nodes[index].alive || self.nodes[index].frozen {
                     continue;
                 }
                 self.poll_store(index);
                 if self.now.is_multiple_of(50) {
-                    let now = self.local(index);
+                    let now = self.local_time(index);
                     let effects = self.nodes[index].core.tick(now);
                     self.perform(index, effects);
                 }
                 if self.now.is_multiple_of(500) {
-                    self.write_names(index);
+                    self.write_registrations(index);
                 }
             }
         }
@@ -604,12 +611,12 @@
                 continue;
             }
             if self.nodes[to].frozen {
-                // It finds them when it goes on, in their order.
+                // A suspended process receives them in their order once it is resumed.
                 self.messages.insert(number, message);
-                self.queue.push(Reverse((self.now + STEP, number, to)));
+                self.queue.push(Reverse((self.now + STEP_MS, number, to)));
                 continue;
             }
-            let now = self.local(to);
+            let now = self.local_time(to);
             let effects = match message {
                 Message::Frame(from, frame) => self.nodes[to].core.frame(now, &from, frame),
                 Message::Packet(from, packet) => self.nodes[to].core.datagram(now, from, packet),
@@ -619,60 +626,61 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
-        let Some(to) = at(to).filter(|index| *index < self.nodes.len()) else {
+        let Some(to) = index_at(to).filter(|index| *index < self.nodes.len()) else {
             return;
         };
-        if self.cut.contains(&(from, to)) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
         self.sent += 1;
         self.messages.insert(self.sent, message);
-        let way = if from % self.zones == to % self.zones { WAY } else { self.far };
-        self.queue.push(Reverse((self.now + way, self.sent, to)));
+        let delay = if from % self.zones == to % self.zones { LINK_DELAY_MS } else { self.cross_zone_delay };
+        self.queue.push(Reverse((self.now + delay, self.sent, to)));
     }
 
-    /// Begins to count bytes sent, by what they are about; gives what was counted.
-    pub fn recount(&mut self) -> BTreeMap<&'static str, usize> {
-        self.crossed.clear();
-        self.senders.clear();
-        self.counted.replace(BTreeMap::new()).unwrap_or_default()
+    /// Returns the bytes sent by kind since the last call, and starts a new count. Nothing is counted before the first call.
+    pub fn take_byte_counts(&mut self) -> BTreeMap<&'static str, usize> {
+        self.cross_zone_bytes.clear();
+        self.bytes_by_sender.clear();
+        self.bytes_by_kind.replace(BTreeMap::new()).unwrap_or_default()
     }
 
-    /// Bytes that went to another zone since they were counted anew, by what they are about.
-    pub fn crossed(&self) -> &BTreeMap<&'static str, usize> {
-        &self.crossed
+    /// Bytes sent to another zone, by kind, since [`World::take_byte_counts`] was last called.
+    pub fn cross_zone_bytes(&self) -> &BTreeMap<&'static str, usize> {
+        &self.cross_zone_bytes
     }
 
-    /// The most bytes that one router has sent since they were counted anew.
-    pub fn busiest(&self) -> usize {
-        self.senders.values().copied().max().unwrap_or(0)
+    /// The largest number of bytes that one router has sent since [`World::take_byte_counts`] was last called.
+    pub fn max_sender_bytes(&self) -> usize {
+        self.bytes_by_sender.values().copied().max().unwrap_or(0)
     }
 
     fn count(&mut self, from: usize, to: SocketAddr, kind: &'static str, bytes: usize) {
-        if let Some(counted) = &mut self.counted {
+        if let Some(counted) = &mut self.bytes_by_kind {
             *counted.entry(kind).or_default() += bytes;
-            *self.senders.entry(from).or_default() += bytes;
-            if at(to).is_some_and(|to| to % self.zones != from % self.zones) {
-                *self.crossed.entry(kind).or_default() += bytes;
+            *self.bytes_by_sender.entry(from).or_default() += bytes;
+            if index_at(to).is_some_and(|to| to % self.zones != from % self.zones) {
+                *self.cross_zone_bytes.entry(kind).or_default() += bytes;
             }
         }
     }
 
-    /// Does what a router decided.
+    /// Carries out the effects that a router's state machine returned.
     pub fn perform(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Frame { address, frame, .. } => {
-                    self.told += usize::from(matches!(&*frame, Frame::News(_) | Frame::Synced { news: Some(_), .. }));
-                    self.count(index, address, kind(&frame), codec::encode(&*frame).unwrap().len());
-                    self.send(index, address, Message::Frame(name(index), *frame));
+                    self.update_frames +=
+                        usize::from(matches!(&*frame, Frame::News(_) | Frame::Synced { news: Some(_), .. }));
+                    self.count(index, address, frame_kind(&frame), codec::encode(&*frame).unwrap().len());
+                    self.send(index, address, Message::Frame(router_id(index), *frame));
                 }
                 Effect::Frames { to, frame } => {
-                    self.told += to.len();
+                    self.update_frames += to.len();
                     let bytes = codec::encode(&*frame).unwrap().len();
                     for (_, address) in to {
-                        self.count(index, address, kind(&frame), bytes);
-                        self.send(index, address, Message::Frame(name(index), (*frame).clone()));
+                        self.count(index, address, frame_kind(&frame), bytes);
+                        self.send(index, address, Message::Frame(router_id(index), (*frame).clone()));
                     }
                 }
                 Effect::Datagram { to, packet } => {
@@ -685,13 +693,13 @@
                 Effect::Inspect { upstream, .. } => self.nodes[index].inspected.push(upstream),
                 Effect::Leaves(_) | Effect::Rests { .. } | Effect::Unreadable(_) => {}
                 Effect::Quarantined { fingerprint, length, .. } => {
-                    self.found.push(fingerprint);
+                    self.quarantined.push(fingerprint);
                     if !self.cut_from_store.contains(&index) {
                         self.put(Subject::Quarantine(fingerprint), Some(Value::Quarantine(length)));
                     }
                 }
                 Effect::Surplus { surplus, .. } => self.surpluses.push(surplus.is_above),
-                Effect::Over(attempt) => self.over.push((index, attempt)),
+                Effect::Over(attempt) => self.terminated.push((index, attempt)),
                 Effect::Configured(_)
                 | Effect::Begun(_)
                 | Effect::Evacuated { .. }
@@ -704,45 +712,45 @@
         }
     }
 
-    /// Messages sent so far from one router to another.
-    pub fn messages(&self) -> usize {
+    /// The number of messages that routers have sent to each other so far.
+    pub fn message_count(&self) -> usize {
         usize::try_from(self.sent).unwrap()
     }
 
-    /// Whether a router runs.
+    /// Whether a router's process runs or is suspended, and hasn't been killed.
     pub fn is_alive(&self, index: usize) -> bool {
         self.nodes[index].alive
     }
 
-    /// A router got no answer from another one as a home.
-    pub fn distrust(&mut self, index: usize, home: usize) {
-        let now = self.local(index);
-        self.nodes[index].core.distrust(now, &name(home));
+    /// Reports to a router that a home didn't answer it in time.
+    pub fn mark_unresponsive(&mut self, index: usize, home: usize) {
+        let now = self.local_time(index);
+        self.nodes[index].core.distrust(now, &router_id(home));
     }
 
     // ------------------------------------------------------------------------
     // Requests.
 
-    /// A request at a router; gives the home that was asked.
-    pub fn ask(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) -> id::Router {
-        let (service, ask) = request(index, number, parts);
-        let now = self.local(index);
+    /// Sends a request's permit request from its entry router; returns the home that it went to.
+    pub fn request_permit(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) -> id::Router {
+        let (service, ask) = permit_request(index, number, parts);
+        let now = self.local_time(index);
         let (home, effects) = self.nodes[index].core.ask(now, &service, ask);
         self.perform(index, effects);
         home
     }
 
-    /// A request at a router of which it matters what it asks for; gives the home that was asked.
-    pub fn ask_for(&mut self, index: usize, number: u128, fingerprint: id::Fingerprint) -> id::Router {
-        let (service, ask) = request(index, number, &[]);
-        let now = self.local(index);
+    /// Sends a permit request like [`World::request_permit`], for a request with this fingerprint.
+    pub fn request_permit_for(&mut self, index: usize, number: u128, fingerprint: id::Fingerprint) -> id::Router {
+        let (service, ask) = permit_request(index, number, &[]);
+        let now = self.local_time(index);
         let (home, effects) = self.nodes[index].core.ask(now, &service, Ask { fingerprint, ..ask });
         self.perform(index, effects);
         home
     }
 
-    /// A request that a home was asked for runs from now on, if it was placed; gives its place.
-    pub fn start_for(
+    /// Starts a request whose permit was granted, and returns its engine; `None` if there is no grant.
+    pub fn start_request(
         &mut self,
         index: usize,
         number: u128,
@@ -756,22 +764,22 @@
         Some(upstream)
     }
 
-    /// A request that runs ends this way.
-    pub fn end_as(&mut self, index: usize, number: u128, outcome: Outcome) {
-        let now = self.local(index);
+    /// Ends a running request with this outcome.
+    pub fn end_with(&mut self, index: usize, number: u128, outcome: Outcome) {
+        let now = self.local_time(index);
         let effects = self.nodes[index].core.end(now, id::Attempt(number), outcome, None);
         self.perform(index, effects);
     }
 
-    /// A request at a router that decides by itself, since no home answered.
-    pub fn ask_self(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) {
-        let (service, ask) = request(index, number, parts);
-        let now = self.local(index);
+    /// Makes the entry router decide on a request by itself, as it does when no home answers.
+    pub fn decide_locally(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) {
+        let (service, ask) = permit_request(index, number, parts);
+        let now = self.local_time(index);
         let effects = self.nodes[index].core.ask_self(now, &service, ask);
         self.perform(index, effects);
     }
 
-    /// Where a request was granted.
+    /// The engine that a request was granted; `None` if it has no grant.
     pub fn granted(&self, index: usize, number: u128) -> Option<id::Upstream> {
         match self.nodes[index].replies.get(&id::Attempt(number))? {
             Reply::Decided(Some(Verdict::Granted { upstream, .. })) => Some(upstream.clone()),
@@ -779,14 +787,14 @@
         }
     }
 
-    /// A request that is placed and runs on; gives its place.
+    /// Requests a permit, waits for the grant and starts the request, which then keeps running; returns its engine.
     pub fn hold(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) -> Option<id::Upstream> {
-        let home = self.ask(index, number, parts);
+        let home = self.request_permit(index, number, parts);
         self.run(50);
-        self.start_for(index, number, &home, id::Fingerprint::default())
+        self.start_request(index, number, &home, id::Fingerprint::default())
     }
 
-    /// A request that is placed, runs and ends; gives its place.
+    /// Requests a permit, waits for the grant, and runs the request to its end; returns its engine.
     pub fn serve(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) -> Option<id::Upstream> {
         let upstream = self.hold(index, number, parts)?;
         self.end(index, number);
@@ -794,34 +802,35 @@
         Some(upstream)
     }
 
-    /// A request that was placed, if it was, runs and ends.
+    /// Starts and ends a request, if its permit was granted.
     pub fn finish(&mut self, index: usize, number: u128) {
         if self.granted(index, number).is_some() {
             let home = self.nodes[index].core.home_of(&"chat".parse().unwrap()).unwrap();
-            self.start_for(index, number, &home, id::Fingerprint::default());
+            self.start_request(index, number, &home, id::Fingerprint::default());
             self.end(index, number);
         }
     }
 
-    /// A request that was held ends.
+    /// Ends a running request successfully, with a first event after 20 ms.
     pub fn end(&mut self, index: usize, number: u128) {
         let attempt = id::Attempt(number);
-        let now = self.local(index);
+        let now = self.local_time(index);
         let core = &mut self.nodes[index].core;
         let mut effects = core.begun(now, attempt, Duration::from_millis(20));
         effects.extend(core.end(now, attempt, Outcome::Served, None));
         self.perform(index, effects);
     }
 
-    /// So many requests at once, each of which ends once it is placed; gives their places.
+    /// Sends `count` permit requests at once, and ends each granted request right after its start; returns the engines of those
+    /// that were granted.
     pub fn burst(&mut self, index: usize, from: u128, count: u128) -> Vec<id::Upstream> {
         let parts = |number: u128| [(u64::try_from(number).unwrap() + 1_000, 200)];
         let homes: Vec<_> =
-            (from..from + count).map(|number| (number, self.ask(index, number, &parts(number)))).collect();
+            (from..from + count).map(|number| (number, self.request_permit(index, number, &parts(number)))).collect();
         self.run(30);
         let mut places = Vec::new();
         for (number, home) in homes {
-            if let Some(upstream) = self.start_for(index, number, &home, id::Fingerprint::default()) {
+            if let Some(upstream) = self.start_request(index, number, &home, id::Fingerprint::default()) {
                 self.end(index, number);
                 places.push(upstream);
             }
@@ -830,100 +839,101 @@
         places
     }
 
-    /// Whether a router may send new work to an engine.
-    pub fn usable(&self, index: usize, engine: usize) -> bool {
+    /// Whether a router may send new requests to an engine.
+    pub fn is_usable(&self, index: usize, engine: usize) -> bool {
         self.nodes[index].core.place(&format!("e{engine}").parse().unwrap()).is_some()
     }
 
-    /// The version in force at a router.
+    /// The version of the configuration that is in force at a router.
     pub fn version(&self, index: usize) -> u64 {
         self.nodes[index].core.table().version()
     }
 
-    /// Whether keys count at a router.
-    pub fn trusts(&self, index: usize) -> bool {
-        self.nodes[index].core.trusts_keys(self.local(index))
+    /// Whether a router's copy of the store is fresh enough for it to accept API keys.
+    pub fn trusts_keys(&self, index: usize) -> bool {
+        self.nodes[index].core.trusts_keys(self.local_time(index))
     }
 
-    /// Now, on a router's own clock.
-    pub fn local(&self, index: usize) -> Moment {
-        self.nodes[index].local(self.now)
+    /// The current time on a router's own clock.
+    pub fn local_time(&self, index: usize) -> Moment {
+        self.nodes[index].local_time(self.now)
     }
 
-    /// The index of a router.
-    pub fn index(&self, router: &id::Router) -> usize {
-        (0..self.nodes.len()).find(|index| &name(*index) == router).unwrap()
+    /// The index of the router with this id.
+    pub fn index_of(&self, router: &id::Router) -> usize {
+        (0..self.nodes.len()).find(|index| &router_id(*index) == router).unwrap()
     }
 }
 
-/// A caller at a router, whose request the process asks homes for as long as it isn't placed: each is given a while to answer,
-/// and after two of them the router decides by itself.
+/// A request at an entry router that retries until it has a permit, as the router's process does: each home has
+/// [`HOME_TIMEOUT_MS`] to answer, and after [`MAX_HOMES`] of them the router decides by itself.
 pub struct Caller {
     index: usize,
-    /// The number of its first attempt.
+    /// The number of the request's first attempt.
     first: u128,
-    /// Attempts so far.
-    rounds: u128,
-    /// What was asked, of whom and when.
-    asked: Option<(u128, id::Router, u64)>,
+    /// How many attempts were made so far.
+    attempts: u128,
+    /// The outstanding attempt: its number, the home that it went to, and the time it was sent, in ms.
+    pending: Option<(u128, id::Router, u64)>,
 }
 
-/// What a home is given to answer, in ms, and how many are asked before the router decides by itself.
-const PATIENCE: u64 = 120;
-const HOMES: u128 = 2;
+/// How long a [`Caller`] waits for a home's answer, in ms.
+const HOME_TIMEOUT_MS: u64 = 120;
+/// How many homes a [`Caller`] requests a permit from before its router decides by itself.
+const MAX_HOMES: u128 = 2;
 
 impl Caller {
-    /// Of this router.
+    /// Creates the first request at the router with this index.
     pub fn new(index: usize) -> Self {
-        Self { index, first: 0, rounds: 0, asked: None }
+        Self { index, first: 0, attempts: 0, pending: None }
     }
 
-    /// Its how-many-eth request.
+    /// Gives the request another sequence number, so that its attempts differ from those of the router's other requests.
     pub fn with_number(self, number: u64) -> Self {
         Self { first: u128::from(number) * 1_000, ..self }
     }
 
-    /// The router's index.
+    /// The index of the entry router.
     pub fn router(&self) -> usize {
         self.index
     }
 
-    /// Looks whether the request is placed, and asks if nobody is asked yet.
-    pub fn call(&mut self, world: &mut World) -> bool {
-        if !world.is_alive(self.index) || world.version(self.index) == 0 || !world.trusts(self.index) {
-            self.asked = None;
+    /// Checks whether the request has a permit, and sends the next attempt if none is outstanding.
+    pub fn poll(&mut self, world: &mut World) -> bool {
+        if !world.is_alive(self.index) || world.version(self.index) == 0 || !world.trusts_keys(self.index) {
+            self.pending = None;
             return false;
         }
-        if let Some((number, home, since)) = &self.asked {
+        if let Some((number, home, since)) = &self.pending {
             let placed = world.granted(self.index, *number);
             if let Some(engine) = placed {
                 return world.nodes[self.index].core.place(&engine).is_some();
             }
-            let unable = matches!(world.nodes[self.index].replies.get(&id::Attempt(*number)), Some(Reply::Decided(_)));
-            if !unable && world.now - since < PATIENCE {
+            let refused = matches!(world.nodes[self.index].replies.get(&id::Attempt(*number)), Some(Reply::Decided(_)));
+            if !refused && world.now - since < HOME_TIMEOUT_MS {
                 return false;
             }
-            let now = world.local(self.index);
+            let now = world.local_time(self.index);
             world.nodes[self.index].core.distrust(now, home);
         }
-        let number = 1_000_000 * (self.index as u128 + 1) + self.first + self.rounds;
-        self.rounds += 1;
+        let number = 1_000_000 * (self.index as u128 + 1) + self.first + self.attempts;
+        self.attempts += 1;
         let parts = [(u64::try_from(number).unwrap(), 200)];
-        let home = if self.rounds.is_multiple_of(HOMES + 1) {
-            world.ask_self(self.index, number, &parts);
-            name(self.index)
+        let home = if self.attempts.is_multiple_of(MAX_HOMES + 1) {
+            world.decide_locally(self.index, number, &parts);
+            router_id(self.index)
         } else {
-            world.ask(self.index, number, &parts)
+            world.request_permit(self.index, number, &parts)
         };
-        self.asked = Some((number, home, world.now));
+        self.pending = Some((number, home, world.now));
         world.granted(self.index, number).is_some()
     }
 }
 
-fn request(index: usize, number: u128, parts: &[(u64, u32)]) -> (id::Service, Ask) {
+fn permit_request(index: usize, number: u128, parts: &[(u64, u32)]) -> (id::Service, Ask) {
     let ask = Ask {
         attempt: id::Attempt(number),
-        entry: name(index),
+        entry: router_id(index),
         zone: "z0".parse().unwrap(),
         customer: None,
         route: id::Route(0),
--- a/crates/stairvale-serve/tests/world/records.rs
+++ b/crates/stairvale-serve/tests/world/records.rs
@@ -1,4 +1,4 @@
-//! Orders, records of roll-outs and how they are written.
+//! Roll-out orders and records in the simulated store, and the conditional writes that change records.
 
 use std::time::Duration;
 
@@ -6,63 +6,63 @@
 use stairvale_rollout::{Order, Record, Stage, Write, Written};
 use stairvale_types::id;
 
-use super::{World, name};
+use super::{World, router_id};
 
-/// A call takes this long, in ms.
-const CALL: u64 = 5;
-/// A call without an answer is given up after this long, in ms.
-const LIMIT: u64 = 1_000;
-/// What is done late is done after this long, in ms.
-const LATE: u64 = 1_500;
+/// How long a write takes, in ms.
+const WRITE_DELAY_MS: u64 = 5;
+/// A write without an answer times out after this long, in ms.
+const WRITE_TIMEOUT_MS: u64 = 1_000;
+/// A late write ([`Fault::Late`]) is applied after this long, in ms: later than the caller's timeout.
+const LATE_WRITE_DELAY_MS: u64 = 1_500;
 
-/// What is wrong with changes of records.
+/// The fault that affects writes of roll-out records.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum Fault {
+    /// Writes work.
     None,
-    /// The store refuses them.
+    /// The store refuses writes.
     Busy,
-    /// It does them, and the answer is lost.
+    /// The store applies writes, but its answer is lost.
     Lost,
-    /// It does them some time after the caller has given up, if their condition still holds.
+    /// The store applies a write after the caller's timeout, if the write's condition still holds then.
     Late,
 }
 
-/// The answer to a change, on its way.
+/// The outstanding answer to a write.
 #[derive(Debug)]
 struct Answer {
     at: u64,
     index: usize,
-    /// When the process started that waits for it.
-    born: u64,
+    /// When the waiting process started; a later process with the same index doesn't get the answer.
+    started_at: u64,
     peer: Option<(id::Router, u64)>,
     service: id::Service,
     written: Written,
 }
 
-/// Changes that are on their way.
+/// Writes that are outstanding, and a log of callers.
 #[derive(Debug, Default)]
 pub struct Records {
     answers: Vec<Answer>,
     late: Vec<(u64, Write)>,
-    /// Who made each call that reached the store, in order.
+    /// The index of the router that made each call that reached the store, in order.
     pub callers: Vec<usize>,
 }
 
 impl World {
-    /// An engine appears, with its software's version.
-    pub fn put_version(&mut self, engine: usize, zone: usize, version: &str) {
+    /// Writes the entry of a ready engine with its software version to the store.
+    pub fn put_engine_version(&mut self, engine: usize, zone: usize, version: &str) {
         self.write_engine(engine, zone, Some(State::Ready), Duration::ZERO, Some(version));
     }
 
-    /// The operator orders a version for the service, or takes the order away; gives the store's revision.
-    pub fn order(&mut self, target: Option<&str>, over: Duration) -> u64 {
+    /// Writes the operator's order of a version for the service, or removes it; returns the store's revision.
+    pub fn set_order(&mut self, target: Option<&str>, over: Duration) -> u64 {
         let order = target.map(|target| Value::Order(Order { target: target.parse().unwrap(), over }));
         self.put(Subject::Order("chat".parse().unwrap()), order);
         self.store.len() as u64
     }
 
-    /// The record of the roll-out as the store has it, with its revision.
+    /// The roll-out record in the store, with its revision.
     pub fn record(&self) -> Option<(u64, Record)> {
         let subject = Subject::Rollout("chat".parse().unwrap());
         let item = self.store.iter().rev().find(|item| item.subject == subject)?;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// All records that the store ever had, the earliest first.
+    /// All roll-out records that the store has held, the earliest first.
     pub fn history(&self) -> Vec<Record> {
         let records = self.store.iter().filter_map(|item| match item.value.as_ref()? {
             Value::Rollout(record) => Some(record.clone()),
@@ -81,7 +81,7 @@
         records.collect()
     }
 
-    /// Writes a record as some home would, whatever stands there.
+    /// Writes a roll-out record unconditionally; returns the store's revision.
     pub fn put_record(&mut self, order: u64, target: &str, stage: Stage) -> u64 {
         let record = Record {
             order,
@@ -94,78 +94,78 @@
             requests: 0,
             granted: 0,
             routes: std::collections::BTreeMap::new(),
-            writer: name(0),
+            writer: router_id(0),
             number: 1,
         };
         self.put(Subject::Rollout("chat".parse().unwrap()), Some(Value::Rollout(record)));
         self.store.len() as u64
     }
 
-    /// The stage at a router, by all that it knows.
+    /// The stage of the roll-out that a router follows, derived from its copy of the store and its peers' reports.
     pub fn stage(&self, index: usize) -> Option<Stage> {
         self.nodes[index].core.policy(&"chat".parse().unwrap()).map(|policy| policy.stage)
     }
 
-    /// The service's home, as a router sees it.
+    /// The index of the service's home, in a router's view.
     pub fn home(&self, index: usize) -> usize {
-        self.index(&self.nodes[index].core.home_of(&"chat".parse().unwrap()).unwrap())
+        self.index_of(&self.nodes[index].core.home_of(&"chat".parse().unwrap()).unwrap())
     }
 
-    /// Who made calls that changed records, in order.
+    /// The indexes of the routers whose write calls reached the store, in order.
     pub fn writers(&self) -> &[usize] {
         &self.records.callers
     }
 
-    /// A router makes a call.
+    /// Sends a router's write to the store, for itself or on behalf of a peer.
     pub(super) fn write(&mut self, index: usize, peer: Option<(id::Router, u64)>, write: Write) {
         let service = write.service.clone();
         let (after, written) = if self.cut_from_store.contains(&index) {
-            (LIMIT, Written::Unknown)
+            (WRITE_TIMEOUT_MS, Written::Unknown)
         } else {
             self.records.callers.push(index);
-            match self.trouble {
-                Trouble::None => (CALL, self.swap(write)),
-                Trouble::Busy => (CALL, Written::Refused),
-                Trouble::Lost => {
-                    self.swap(write);
-                    (LIMIT, Written::Unknown)
+            match self.record_fault {
+                Fault::None => (WRITE_DELAY_MS, self.compare_and_swap(write)),
+                Fault::Busy => (WRITE_DELAY_MS, Written::Refused),
+                Fault::Lost => {
+                    self.compare_and_swap(write);
+                    (WRITE_TIMEOUT_MS, Written::Unknown)
                 }
-                Trouble::Late => {
-                    self.records.late.push((self.now + LATE, write));
-                    (LIMIT, Written::Unknown)
+                Fault::Late => {
+                    self.records.late.push((self.now + LATE_WRITE_DELAY_MS, write));
+                    (WRITE_TIMEOUT_MS, Written::Unknown)
                 }
             }
         };
-        let (at, born) = (self.now + after, self.nodes[index].born);
-        self.records.answers.push(Answer { at, index, born, peer, service, written });
+        let (at, started_at) = (self.now + after, self.nodes[index].started_at);
+        self.records.answers.push(Answer { at, index, started_at, peer, service, written });
     }
 
-    /// Compares and swaps.
-    fn swap(&mut self, write: Write) -> Written {
-        let standing = self.record();
-        if standing.as_ref().map_or(0, |(revision, _)| *revision) != write.expected {
-            return Written::Conflict(standing);
+    /// Applies a write if the record still has the revision that the writer expects.
+    fn compare_and_swap(&mut self, write: Write) -> Written {
+        let current = self.record();
+        if current.as_ref().map_or(0, |(revision, _)| *revision) != write.expected {
+            return Written::Conflict(current);
         }
         self.put(Subject::Rollout(write.service), Some(Value::Rollout(write.record)));
         Written::Done(self.store.len() as u64)
     }
 
-    /// Does what is late, and hands answers in that are due.
-    pub(super) fn answer_writes(&mut self) {
+    /// Applies late writes, and delivers answers, that are due.
+    pub(super) fn deliver_write_results(&mut self) {
         let now = self.now;
         let (due, late) = std::mem::take(&mut self.records.late).into_iter().partition(|(at, _)| *at <= now);
         self.records.late = late;
         for (_, write) in Vec::<(u64, Write)>::into_iter(due) {
-            self.swap(write);
+            self.compare_and_swap(write);
         }
         let due = |answer: &Answer| answer.at <= now && !self.nodes[answer.index].frozen;
         let (due, answers) = std::mem::take(&mut self.records.answers).into_iter().partition(due);
         self.records.answers = answers;
-        for Answer { index, born, peer, service, written, .. } in Vec::<Answer>::into_iter(due) {
-            if !self.nodes[index].alive || self.nodes[index].born != born {
+        for Answer { index, started_at, peer, service, written, .. } in Vec::<Answer>::into_iter(due) {
+            if !self.nodes[index].alive || self.nodes[index].started_at != started_at {
                 continue;
             }
-            let now = self.local(index);
+            let now = self.local_time(index);
             let core = &mut self.nodes[index].core;
             let effects = match peer {
                 Some((peer, number)) => core.written_for(&peer, number, written),
--- a/crates/stairvale-serve/tests/zones.rs
+++ b/crates/stairvale-serve/tests/zones.rs
@@ -1,7 +1,7 @@
-//! What routers say to each other across zones before thousands of upstreams, by kind: where all start at once, where they are
-//! restarted one after the other, and where a zone is lost.
+//! Bytes that routers send across zones, by kind of message, with thousands of upstreams: when all routers start at once, when they
+//! are restarted one after the other, and when a zone is lost.
 
-// What was counted is told where a test is run with its output.
+// The tests print the counted bytes.
 #![allow(clippy::unwrap_used, clippy::print_stdout)]
 
 mod world;
@@ -9,27 +9,28 @@
 use world::World;
 
 const ZONES: usize = 4;
-/// Two strong routers in each zone.
-const STRONG: usize = ZONES * 2;
-/// The way between zones, in ms.
-const FAR: u64 = 5;
+/// The number of strong routers: two in each zone.
+const STRONG_ROUTERS: usize = ZONES * 2;
+/// One-way delay between zones, in ms.
+const CROSS_ZONE_DELAY_MS: u64 = 5;
 
 fn fleet(routers: usize) -> World {
-    let strengths = (0..routers).map(|index| if index < STRONG { 50 } else { 12 }).collect();
+    let strengths = (0..routers).map(|index| if index < STRONG_ROUTERS { 50 } else { 12 }).collect();
     let mut world = World::with_strengths(strengths, ZONES, routers * 10);
     world.slots = 64;
-    world.far = FAR;
+    world.cross_zone_delay = CROSS_ZONE_DELAY_MS;
     world.run(8_000);
-    world.recount();
+    world.take_byte_counts();
     world
 }
 
-/// Bytes that crossed zones since they were counted last, of datagrams and of all else; tells them by kind, and begins anew.
-fn crossed(world: &mut World, what: &str) -> (usize, usize) {
-    let crossed = world.crossed().clone();
-    let busiest = world.busiest();
-    let total = world.recount();
-    println!("{what}: crossed {crossed:?}; of {total:?}; the busiest sent {busiest}");
+/// Bytes sent across zones since the last count: of datagrams, and of all other messages. Prints them by kind, and starts a new
+/// count.
+fn take_cross_zone_bytes(world: &mut World, what: &str) -> (usize, usize) {
+    let crossed = world.cross_zone_bytes().clone();
+    let max_bytes = world.max_sender_bytes();
+    let total = world.take_byte_counts();
+    println!("{what}: {crossed:?} bytes across zones, {total:?} in all, at most {max_bytes} by one router");
     let datagrams = crossed.get("datagram").copied().unwrap_or(0);
     (datagrams, crossed.values().sum::<usize>() - datagrams)
 }
@@ -42,11 +43,11 @@
 }
 
 #[test]
-fn what_crosses_zones_when_a_hundred_come_and_go_is_news_that_was_told_a_few_times() {
+fn cross_zone_traffic_of_a_hundred_restarting_routers_is_bounded() {
     const ROUTERS: usize = 100;
     let mut world = fleet(ROUTERS);
     world.run(2_000);
-    let (datagrams, others) = crossed(&mut world, "two calm seconds");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "two idle seconds");
     assert!(datagrams < ROUTERS * 1_000 && others < ROUTERS * 200, "{datagrams}, {others}");
 
     for index in 0..ROUTERS {
@@ -57,41 +58,41 @@
         world.start(index, ZONES);
     }
     world.run(3_000);
-    let (datagrams, others) = crossed(&mut world, "three seconds after all start at once");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "three seconds after all routers start at once");
     assert!(datagrams < 900_000 && others < 100_000, "{datagrams}, {others}");
 
     world.run(5_000);
-    crossed(&mut world, "five seconds after that");
+    take_cross_zone_bytes(&mut world, "the five seconds after that");
     for index in 0..ROUTERS {
         restart(&mut world, index);
     }
     world.run(3_000);
-    let (datagrams, others) = crossed(&mut world, "all restarted one after the other");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "all routers restarted one after the other");
     assert!(datagrams < 2_000_000 && others < 200_000, "{datagrams}, {others}");
 
     for index in (0..ROUTERS).filter(|index| index % ZONES == 0) {
         world.kill(index);
     }
     world.run(5_000);
-    let (datagrams, others) = crossed(&mut world, "a zone lost");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "a zone lost");
     assert!(datagrams < 400_000 && others < 50_000, "{datagrams}, {others}");
 
     for index in (0..ROUTERS).filter(|index| index % ZONES == 0) {
         world.start(index, ZONES);
     }
     world.run(3_000);
-    let (datagrams, others) = crossed(&mut world, "and back");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "the zone started again");
     assert!(datagrams < 300_000 && others < 100_000, "{datagrams}, {others}");
 }
 
 #[test]
-fn three_hundred_of_which_some_are_restarted_say_little_across_zones() {
+fn cross_zone_traffic_of_three_hundred_routers_with_some_restarts_is_bounded() {
     const RESTARTED: usize = 30;
     let mut world = fleet(300);
     for index in 0..RESTARTED {
         restart(&mut world, index * 10);
     }
     world.run(2_000);
-    let (datagrams, others) = crossed(&mut world, "thirty of three hundred restarted");
+    let (datagrams, others) = take_cross_zone_bytes(&mut world, "30 of 300 routers restarted");
     assert!(datagrams < RESTARTED * 60_000 && others < RESTARTED * 10_000, "{datagrams}, {others}");
 }
