--- a/crates/stairvale-store/src/client.rs
+++ b/crates/stairvale-store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! The HTTP client of the platform's key-value service.
 
 use std::{
     sync::{
@@ -25,124 +25,126 @@
     protocol::{Lease, NewLease, Revision, Value},
 };
 
-/// A call that isn't answered by then is lost.
+/// The time within which a call must be answered. A call that exceeds it is lost: it may have taken effect.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a watch waits at the platform.
+/// How long a watch waits at the platform for a change.
 pub const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// What a request's head adds to its body, near enough for a traffic count.
-const HEAD_BYTES: u64 = 160;
+/// The estimated size of a request's head, which is added to that of the path and the body when traffic is counted.
+const ESTIMATED_HEAD_BYTES: u64 = 160;
 
-/// What came of a compare-and-swap.
+/// The outcome of a compare-and-swap.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Swap {
-    /// It took effect at this revision.
+    /// The value was written at this revision.
     Written(u64),
-    /// The key had another revision.
+    /// The key had another revision, and nothing was written.
     Conflict,
 }
 
-/// What the platform's clock said, and when.
+/// Extrapolates the platform's clock from the date of its latest answer, in milliseconds since 1970, and the moment at
+/// which that answer was received.
 #[derive(Debug)]
-struct Time {
+struct PlatformTime {
     clock: Clock,
-    heard: std::sync::Mutex<Option<(u64, Moment)>>,
+    latest: std::sync::Mutex<Option<(u64, Moment)>>,
 }
 
-impl Time {
-    fn hear(&self, date: SystemTime) {
+impl PlatformTime {
+    fn update(&self, date: SystemTime) {
         let millis = date.duration_since(UNIX_EPOCH).map_or(0, |span| u64::try_from(span.as_millis()).unwrap_or(0));
-        if let Ok(mut heard) = self.heard.lock() {
-            *heard = Some((millis, self.clock.now()));
+        if let Ok(mut latest) = self.latest.lock() {
+            *latest = Some((millis, self.clock.now()));
         }
     }
 
     fn now_ms(&self) -> Option<u64> {
-        let heard = *self.heard.lock().ok()?;
-        let (millis, at) = heard?;
-        let passed = u64::try_from(self.clock.now().since(at).as_millis()).unwrap_or(0);
-        Some(millis + passed)
+        let latest = *self.latest.lock().ok()?;
+        let (millis, at) = latest?;
+        let elapsed = u64::try_from(self.clock.now().since(at).as_millis()).unwrap_or(0);
+        Some(millis + elapsed)
     }
 }
 
-/// A client; clones share connections and counters.
+/// A client of the platform. Clones share connections and counters.
 #[derive(Clone, Debug)]
 pub struct Client {
     base: Uri,
     http: legacy::Client<HttpConnector, Full<Bytes>>,
-    sent: Arc<AtomicU64>,
+    sent_bytes: Arc<AtomicU64>,
     calls: Arc<AtomicU64>,
-    time: Arc<Time>,
+    time: Arc<PlatformTime>,
 }
 
 impl Client {
-    /// A client of the platform at `base`, such as `http://10.0.0.2:9000`.
+    /// Creates a client of the platform at `base`, such as `http://10.0.0.2:9000`.
     #[must_use]
     pub fn new(base: Uri, clock: Clock) -> Self {
         let mut builder = legacy::Client::builder(TokioExecutor::new());
-        // A call that was sent is never sent again below us: only the caller knows whether that is harmless.
+        // A call that was sent is never sent again by the HTTP library: only the caller can tell whether that is
+        // harmless.
         builder.retry_canceled_requests(false);
-        let time = Arc::new(Time { clock, heard: std::sync::Mutex::default() });
-        Self { base, http: builder.build_http(), sent: Arc::default(), calls: Arc::default(), time }
+        let time = Arc::new(PlatformTime { clock, latest: std::sync::Mutex::default() });
+        Self { base, http: builder.build_http(), sent_bytes: Arc::default(), calls: Arc::default(), time }
     }
 
     // ------------------------------------------------------------------------
-    // Queries.
+    // State of the client.
 
-    /// Bytes sent to the platform, heads estimated.
+    /// The number of bytes sent to the platform, with estimated sizes of heads.
     #[must_use]
     pub fn sent_bytes(&self) -> u64 {
-        self.sent.load(Ordering::Relaxed)
+        self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Calls made.
+    /// The number of calls made.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// The platform's time in milliseconds since 1970, from its latest answer; `None` before the first.
+    /// The platform's time in milliseconds since 1970, derived from its latest answer; `None` before the first one.
     ///
-    /// Routers agree on it far better than on their own clocks.
+    /// Routers agree on this time far better than on their own clocks.
     #[must_use]
     pub fn now_ms(&self) -> Option<u64> {
         self.time.now_ms()
     }
 
     // ------------------------------------------------------------------------
-    // Calls.
+    // Calls to the platform.
 
-    /// Reads a key.
+    /// Reads a key's value and revision; `None` if the key doesn't exist.
     ///
     /// # Errors
-    /// Any [`Error`]; reading changes nothing.
+    /// Any [`Error`]; reads have no effect on the store.
     pub async fn read(&self, key: &str) -> Result<Option<(String, u64)>, Report<Error>> {
         let answer = self.call(Method::GET, &format!("/v1/kv/{key}"), Bytes::new(), CALL_TIMEOUT).await?;
-        value(answer)
+        parse_value(answer)
     }
 
-    /// Waits until a key has another revision than this, or [`WATCH_WAIT`] passed.
+    /// Waits until a key has a revision other than `revision`, or until [`WATCH_WAIT`] has passed.
     ///
     /// # Errors
-    /// Any [`Error`]; watching changes nothing.
+    /// Any [`Error`]; watches have no effect on the store.
     pub async fn watch(&self, key: &str, revision: u64) -> Result<Option<(String, u64)>, Report<Error>> {
         let wait = WATCH_WAIT.as_millis();
         let path = format!("/v1/watch/{key}?after={revision}&wait_ms={wait}");
         let answer = self.call(Method::GET, &path, Bytes::new(), WATCH_WAIT + CALL_TIMEOUT).await?;
-        value(answer)
+        parse_value(answer)
     }
 
-    /// Writes a key if its revision is still this; zero creates it.
+    /// Writes a key if its revision still equals `revision`; 0 creates the key.
     ///
     /// # Errors
-    /// [`Error::Lost`] if it may have taken effect, [`Error::Refused`] if it didn't.
+    /// [`Error::Lost`] if the write may have taken effect, [`Error::Refused`] if it didn't.
     pub async fn swap(&self, key: &str, value: String, revision: u64) -> Result<Swap, Report<Error>> {
         self.put(&format!("/v1/kv/{key}?revision={revision}"), value).await
     }
 
-    /// Writes a key as [`Client::swap`]; from then on it lives as long as a lease.
+    /// Writes a key like [`Client::swap`] and binds it to a lease: the key is removed when the lease expires.
     ///
     /// # Errors
-    /// As [`Client::swap`].
+    /// The same as those of [`Client::swap`].
     pub async fn swap_leased(
         &self,
         key: &str,
@@ -153,36 +155,36 @@
         self.put(&format!("/v1/kv/{key}?revision={revision}&lease={lease}"), value).await
     }
 
-    /// Makes a lease.
+    /// Creates a lease and returns its number.
     ///
     /// # Errors
-    /// Any [`Error`]; a lease whose answer was lost lapses by itself.
+    /// Any [`Error`]; a lease whose answer was lost expires by itself.
     pub async fn lease(&self, ttl: Duration) -> Result<u64, Report<Error>> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
         let body = serde_json::to_vec(&NewLease { ttl_ms }).map_err(|_| Report::new(Error::Malformed))?;
         let (status, body) = self.call(Method::POST, "/v1/leases", body.into(), CALL_TIMEOUT).await?;
-        expect(status, StatusCode::OK)?;
+        expect_status(status, StatusCode::OK)?;
         let lease: Lease = parse(&body)?;
         Ok(lease.lease)
     }
 
-    /// Renews a lease; false if it has lapsed.
+    /// Renews a lease; `false` if it has expired.
     ///
     /// # Errors
-    /// Any [`Error`]: the lease may have been renewed or not.
+    /// Any [`Error`]; the lease may have been renewed or not.
     pub async fn renew(&self, lease: u64) -> Result<bool, Report<Error>> {
         let path = format!("/v1/leases/{lease}/renew");
         let (status, _) = self.call(Method::POST, &path, Bytes::new(), CALL_TIMEOUT).await?;
         Ok(status == StatusCode::OK)
     }
 
-    /// The platform's list of VMs, as the text it sent.
+    /// Reads the platform's list of VMs, parsed from JSON into `T`.
     ///
     /// # Errors
-    /// Any [`Error`].
+    /// Any [`Error`]; the call has no effect on the platform.
     pub async fn vms<T: DeserializeOwned>(&self) -> Result<T, Report<Error>> {
         let (status, body) = self.call(Method::GET, "/v1/vms", Bytes::new(), CALL_TIMEOUT).await?;
-        expect(status, StatusCode::OK)?;
+        expect_status(status, StatusCode::OK)?;
         parse(&body)
     }
 
@@ -205,15 +207,15 @@
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), Report<Error>> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let size = HEAD_BYTES + path.len() as u64 + body.len() as u64;
-        self.sent.fetch_add(size, Ordering::Relaxed);
+        let size = ESTIMATED_HEAD_BYTES + path.len() as u64 + body.len() as u64;
+        self.sent_bytes.fetch_add(size, Ordering::Relaxed);
         let uri = format!("{}{path}", self.base.to_string().trim_end_matches('/'));
         let request = Request::builder().method(method).uri(uri).body(Full::new(body));
         let request = request.map_err(|_| Report::new(Error::Malformed))?;
-        let answer = tokio::time::timeout(limit, self.answer(request)).await;
+        let answer = tokio::time::timeout(timeout, self.send(request)).await;
         let (status, body) = answer.map_err(|_| Report::new(Error::Lost))??;
         if matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) {
             return Err(Report::new(Error::Refused));
@@ -221,11 +223,11 @@
         Ok((status, body))
     }
 
-    async fn answer(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), Report<Error>> {
-        let answer = self.http.request(request).await.map_err(|error| Report::new(kind(&error)))?;
+    async fn send(&self, request: Request<Full<Bytes>>) -> Result<(StatusCode, Bytes), Report<Error>> {
+        let answer = self.http.request(request).await.map_err(|error| Report::new(classify(&error)))?;
         let date = answer.headers().get(http::header::DATE).and_then(|date| date.to_str().ok());
         if let Some(date) = date.and_then(|date| httpdate::parse_http_date(date).ok()) {
-            self.time.hear(date);
+            self.time.update(date);
         }
         let status = answer.status();
         let body = answer.into_body().collect().await.map_err(|_| Report::new(Error::Lost))?;
@@ -233,12 +235,12 @@
     }
 }
 
-/// A connection that was never made carried nothing.
-fn kind(error: &legacy::Error) -> Error {
+/// Classifies a failed call: if no connection was established, the call can't have taken effect.
+fn classify(error: &legacy::Error) -> Error {
     if error.is_connect() { Error::Refused } else { Error::Lost }
 }
 
-fn expect(status: StatusCode, expected: StatusCode) -> Result<(), Report<Error>> {
+fn expect_status(status: StatusCode, expected: StatusCode) -> Result<(), Report<Error>> {
     if status == expected {
         return Ok(());
     }
@@ -249,11 +251,11 @@
     serde_json::from_slice(body).map_err(|_| Report::new(Error::Malformed))
 }
 
-fn value((status, body): (StatusCode, Bytes)) -> Result<Option<(String, u64)>, Report<Error>> {
+fn parse_value((status, body): (StatusCode, Bytes)) -> Result<Option<(String, u64)>, Report<Error>> {
     if matches!(status, StatusCode::NOT_FOUND | StatusCode::NO_CONTENT) {
         return Ok(None);
     }
-    expect(status, StatusCode::OK)?;
+    expect_status(status, StatusCode::OK)?;
     let value: Value = parse(&body)?;
     Ok(Some((value.value, value.revision)))
 }
--- a/crates/stairvale-store/src/lib.rs
+++ b/crates/stairvale-store/src/lib.rs
@@ -1,7 +1,7 @@
 //! A client of the platform's key-value service: compare-and-swap, leases, watches, and its list of VMs.
 //!
-//! Every call has a time limit. What may have taken effect although no answer came is [`Error::Lost`]; what surely
-//! didn't is [`Error::Refused`].
+//! Every call has a timeout. A call that may have taken effect although no answer arrived fails with [`Error::Lost`];
+//! one that certainly had no effect fails with [`Error::Refused`].
 //!
 //! ```
 //! let client = stairvale_store::Client::new("http://127.0.0.1:9000".parse().unwrap(), stairvale_clock::Clock::start());
--- a/crates/stairvale-table/src/document.rs
+++ b/crates/stairvale-table/src/document.rs
@@ -1,64 +1,64 @@
-//! What an operator writes, in the product's own terms.
+//! The operator's configuration, independent of the format in which it was written.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use stairvale_types::id;
 
-/// A whole configuration. A higher version replaces a lower one, never the other way round.
+/// A complete configuration. A higher version replaces a lower one, never the other way round.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Rises with every change, in uneven steps.
+    /// Rises with every change, not necessarily by 1.
     pub version: u64,
-    /// All routes.
+    /// All routes of the configuration.
     pub routes: Vec<Route>,
-    /// All services.
+    /// All services of the configuration.
     pub services: Vec<Service>,
-    /// All customers. Without any, requests need no key.
+    /// All customers. If there are none, requests need no key.
     pub customers: Vec<Customer>,
-    /// What callers may send.
+    /// Limits for callers' connections and requests.
     pub limits: Limits,
 }
 
-/// What may be done twice.
+/// Whether requests may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Kind {
-    /// May run more than once.
+    /// A request may run more than once.
     Safe,
-    /// Runs at most once.
+    /// A request runs at most once.
     Unsafe,
-    /// A series of events; runs at most once unless it may be resumed.
+    /// The answer is a stream of events; a request runs at most once unless the stream may be resumed.
     Stream,
 }
 
-/// Where requests of a host below a path go.
+/// The destination and the rules of requests for a host below a path.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// For logs and metrics.
+    /// The name that is used in logs and metrics.
     pub name: String,
-    /// The host, in lower case, without a port.
+    /// The host, in lower case and without a port.
     pub host: String,
-    /// The path's beginning; it starts and ends with a slash.
+    /// The beginning of the path; it starts and ends with a slash.
     pub prefix: String,
-    /// What may be done twice.
+    /// Whether requests may run more than once.
     pub kind: Kind,
-    /// The longest that a request is held.
+    /// The longest time that a request is held.
     pub timeout: Duration,
-    /// The time to the answer, or to a stream's first event, that is aimed at.
+    /// The target for the time to the answer, or to a stream's first event.
     pub objective: Duration,
-    /// Its rank: 0 is the most urgent.
+    /// The priority of requests: 0 is the most urgent.
     pub priority: u8,
     /// Services with their weights; never empty.
     pub split: Vec<(id::Service, u32)>,
-    /// The most upstreams that one request may be sent to; at least 1.
+    /// The maximum number of upstreams to which one request may be sent; at least 1.
     pub attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may be taken up again after its last event.
+    /// Whether a stream may be resumed after its last event.
     pub resumable: bool,
-    /// The longest pause between events that is aimed at.
+    /// The target for the longest pause between two events.
     pub pause: Option<Duration>,
-    /// The only regions whose upstreams may be given its requests; empty for any.
+    /// The only regions to whose upstreams requests may be sent; empty for any region.
     pub regions: Vec<id::Region>,
 }
 
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The service for a request, drawn by weight; the same draw gives the same service.
+    /// Selects the service of a request by weight; the same draw gives the same service.
     #[must_use]
     pub fn service(&self, draw: u64) -> Option<&id::Service> {
         let total: u64 = self.split.iter().map(|(_, weight)| u64::from(*weight)).sum();
@@ -89,67 +89,67 @@
     }
 }
 
-/// A group of upstreams that serve the same.
+/// A group of upstreams that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: id::Service,
-    /// Connections that one upstream takes from all routers together.
+    /// The maximum number of connections to one upstream, from all routers together.
     pub connections: u32,
-    /// What its upstreams are, if they are model engines.
+    /// The sizes of its upstreams, if they are model engines.
     pub engine: Option<Engine>,
-    /// What its upstreams bear while they are cold; `None` if that is not told.
+    /// The load that its upstreams sustain while they are cold; `None` if it is not configured.
     pub cold: Option<Cold>,
 }
 
-/// How upstreams do that have just started, or have turned cold again.
+/// The behaviour of upstreams that have just started, or have become cold again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cold {
-    /// How long they stay so.
+    /// How long an upstream stays cold.
     pub time: Duration,
-    /// Requests a second that one of them bears; 0 if none.
+    /// The requests per second that one cold upstream sustains; 0 if none.
     pub pace: f64,
 }
 
-/// A model engine's sizes.
+/// The sizes of a model engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// The number of requests that run at once.
     pub slots: u32,
-    /// Tokens that fit into its cache.
+    /// The number of tokens that fit into the cache.
     pub memory: u64,
-    /// Whether it can copy from another engine what that holds of a prompt.
+    /// Whether the engine can copy the cached prefix of a prompt from another engine.
     pub copies: bool,
 }
 
-/// Who pays for requests.
+/// The party that pays for requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name.
+    /// The name of the customer.
     pub name: id::Customer,
-    /// Its keys.
+    /// The keys that identify the customer's requests.
     pub keys: Vec<String>,
-    /// Its rank, which goes before a route's: 0 is the most urgent.
+    /// The customer's priority, which precedes that of a route: 0 is the most urgent.
     pub priority: u8,
-    /// The only regions whose upstreams may be given its requests; empty for any.
+    /// The only regions to whose upstreams the customer's requests may be sent; empty for any region.
     pub regions: Vec<id::Region>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits for the size and the duration of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a body.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The time that a head may take.
+    /// The time within which a head must be complete.
     pub head_time: Duration,
-    /// The time that a connection may rest.
+    /// The time after which an idle connection is closed.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// 16 KiB of head in 3 s, 4 MiB of body, 15 s of rest.
+    /// Heads of 16 KiB within 3 s, bodies of 4 MiB, idle connections for 15 s.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/stairvale-table/src/lib.rs
+++ b/crates/stairvale-table/src/lib.rs
@@ -1,7 +1,7 @@
 //! The routes, services and customers in force.
 //!
-//! A [`Document`] is what an operator writes, whatever it was written in; a [`Table`] is the same with its indices, for
-//! finding a [`Route`] by host and path and a [`Customer`] by key.
+//! A [`Document`] is an operator's configuration, independent of the format in which it was written. A [`Table`] adds
+//! indices to it, to find a [`Route`] by host and path and a [`Customer`] by key.
 //!
 //! ```
 //! use stairvale_table::{Document, Table};
--- a/crates/stairvale-table/src/table.rs
+++ b/crates/stairvale-table/src/table.rs
@@ -1,4 +1,4 @@
-//! A document with its indices.
+//! A configuration with indices for lookups.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,18 +6,18 @@
 
 use crate::{Customer, Document, Route, Service};
 
-/// Finds routes, services and customers.
+/// Finds routes, services and customers in a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     document: Document,
-    /// Routes of a host, the longest prefix first.
+    /// The routes of each host, the longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
     services: HashMap<id::Service, usize>,
 }
 
 impl Table {
-    /// The table of a document.
+    /// Builds the indices of a document.
     #[must_use]
     pub fn new(document: Document) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
@@ -30,29 +30,30 @@
         let customers = document.customers.iter().enumerate();
         let keys = customers.flat_map(|(index, customer)| customer.keys.iter().map(move |key| (key.clone(), index)));
         let keys = keys.collect();
-        let services = document.services.iter().enumerate().map(|(index, s)| (s.name.clone(), index)).collect();
+        let services =
+            document.services.iter().enumerate().map(|(index, service)| (service.name.clone(), index)).collect();
         Self { hosts, keys, services, document }
     }
 
-    /// The version in force.
+    /// The version of the configuration in force.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.document.version
     }
 
-    /// What it was made of.
+    /// The document from which the table was built.
     #[must_use]
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Whether requests need a key at all.
+    /// Whether there are any customers, so that requests need a key.
     #[must_use]
     pub fn has_customers(&self) -> bool {
         !self.document.customers.is_empty()
     }
 
-    /// The route of a host with the longest prefix that begins the path. A port after the host is passed over.
+    /// Finds the route of a host with the longest prefix of the path. A port after the host is ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
@@ -60,20 +61,20 @@
         routes.into_iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The customer that holds a key.
+    /// Finds the customer with a key.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         self.keys.get(key).map(|index| &self.document.customers[*index])
     }
 
-    /// The regions that routes and customers are kept to, each once.
+    /// The regions to which routes and customers are restricted, each once.
     pub fn regions(&self) -> impl Iterator<Item = &id::Region> {
         let routes = self.document.routes.iter().flat_map(|route| &route.regions);
         let customers = self.document.customers.iter().flat_map(|customer| &customer.regions);
         routes.chain(customers).collect::<BTreeSet<_>>().into_iter()
     }
 
-    /// A service.
+    /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &id::Service) -> Option<&Service> {
         self.services.get(name).map(|index| &self.document.services[*index])
--- a/crates/stairvale-table/tests/table.rs
+++ b/crates/stairvale-table/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes, services and customers are found as the operator wrote them.
+//! Tests that routes, services and customers are found as the operator configured them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_route_with_the_longest_prefix_is_found() {
     let table = table(vec![route("a.example", "/x/", &[("s", 1)]), route("a.example", "/x/y/", &[("t", 1)])]);
     assert_eq!(table.route("a.example", "/x/y/z").unwrap().prefix, "/x/y/");
     assert_eq!(table.route("A.Example:8080", "/x/z").unwrap().prefix, "/x/");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_customer_only() {
+fn a_key_finds_only_its_customer() {
     let customer = |name: &str, key: &str| Customer {
         name: name.parse().unwrap(),
         keys: vec![key.to_owned()],
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn weights_share_the_draws() {
+fn draws_are_split_by_weight() {
     let route = route("a", "/", &[("s", 90), ("t", 10)]);
     let to_t = (0..1_000).filter(|draw| route.service(*draw).unwrap().as_str() == "t").count();
     assert_eq!(to_t, 100);
 }
 
 quickcheck! {
-    fn a_found_route_begins_the_path(prefixes: Vec<u8>, path: Vec<u8>) -> bool {
+    fn the_longest_matching_prefix_is_found_for_any_path(prefixes: Vec<u8>, path: Vec<u8>) -> bool {
         let text = |bytes: &[u8]| bytes.iter().fold(String::from("/"), |text, byte| text + if byte % 2 == 0 { "a/" } else { "b/" });
         let routes: Vec<_> = prefixes.chunks(2).map(|chunk| route("h", &text(chunk), &[("s", 1)])).collect();
         let path = text(&path);
@@ -69,7 +69,7 @@
         table(routes).route("h", &path).map(|r| r.prefix.len()) == best
     }
 
-    fn a_draw_always_leads_somewhere(weights: Vec<u32>, draw: u64) -> bool {
+    fn every_draw_selects_a_service_if_there_is_one(weights: Vec<u32>, draw: u64) -> bool {
         let names: Vec<_> = (0..weights.len()).map(|i| format!("s{i}")).collect();
         let split: Vec<_> = names.iter().map(String::as_str).zip(weights.iter().copied()).collect();
         route("h", "/", &split).service(draw).is_none() == weights.is_empty()
