--- a/crates/stairvale-control/src/explain.rs
+++ b/crates/stairvale-control/src/explain.rs
@@ -86,8 +86,8 @@
 
 fn describe(step: &Step) -> String {
     let event = match &step.event {
-        Event::Asked { home, patience } if patience.is_zero() => format!("permit requested from its home {home}"),
-        Event::Asked { home, patience } => {
+        Event::PermitRequested { home, max_wait: patience } if patience.is_zero() => format!("permit requested from its home {home}"),
+        Event::PermitRequested { home, max_wait: patience } => {
             format!("permit requested from its home {home}, waiting up to {} ms", patience.as_millis())
         }
         Event::Answered(Verdict::Granted { outstanding, over_share }) => {
@@ -104,7 +104,7 @@
         Event::Answered(Verdict::NotHome { .. }) => "the requested router is not its home".to_owned(),
         Event::Answered(Verdict::Closed) => "skipped: accepts no new requests".to_owned(),
         Event::Unanswered => "its home did not answer".to_owned(),
-        Event::PassedOver => "skipped: not usable in this router's view".to_owned(),
+        Event::Skipped => "skipped: not usable in this router's view".to_owned(),
         Event::Degraded => "no home reachable; permit taken from this router's own share".to_owned(),
     };
     format!("{} {}: {event}", step.at, step.upstream)
--- a/crates/stairvale-control/src/fleet.rs
+++ b/crates/stairvale-control/src/fleet.rs
@@ -207,6 +207,6 @@
         let mean = sum as f64 / loads.len().max(1) as f64;
         let bound = service.load_multiple.bound(mean).min(service.slots);
         let reported = self.reported_loads.get(upstream).copied().unwrap_or(0);
-        Some(Share { reported, slots: service.slots, own: (bound / routers).max(1) })
+        Some(Share { reported_load: reported, slots: service.slots, own_slots: (bound / routers).max(1) })
     }
 }
--- a/crates/stairvale-control/src/handlers/frames.rs
+++ b/crates/stairvale-control/src/handlers/frames.rs
@@ -34,12 +34,12 @@
                 let effects = self.entry.recount(self.now, from);
                 self.entry_effects(effects);
             }
-            Frame::Moved { chat, first, to } => self.home.moved(self.now, chat, &first, &to),
+            Frame::Moved { chat, first, to } => self.home.record_prefix_move(self.now, chat, &first, &to),
             Frame::Load(load) => self.sums.receive(self.now, from, load),
             Frame::Mean { service, outstanding, engines, waiting, emptiest } => {
                 let others = Sum { outstanding, engines, waiting };
                 self.emptiest.insert(service.clone(), emptiest.clone());
-                let answers = self.home.mean(self.now, &service, others, emptiest);
+                let answers = self.home.update_mean(self.now, &service, others, emptiest);
                 self.send_answers(answers);
             }
             Frame::Trouble { upstream } => self.probe_suspect(&upstream),
@@ -82,13 +82,13 @@
     }
 
     pub(crate) fn permit_requested(&mut self, from: &id::Router, ask: Ask) {
-        if self.rejoining || self.leaving || !self.home.keeps(&ask.upstream) {
+        if self.rejoining || self.leaving || !self.home.owns(&ask.upstream) {
             let verdict = Verdict::NotHome { home: None };
             let answer = HomeAnswer { to: from.clone(), upstream: ask.upstream, attempt: ask.attempt, verdict };
             self.send_answers(vec![answer]);
             return;
         }
-        let answers = self.home.ask(self.now, from, ask);
+        let answers = self.home.request_permit(self.now, from, ask);
         self.send_answers(answers);
     }
 
@@ -102,7 +102,7 @@
 
     pub(crate) fn peer_unreachable(&mut self, router: &id::Router) {
         self.fleet.swim.doubt(self.now, router);
-        let effects = self.entry.unreachable(self.now, &self.fleet, router);
+        let effects = self.entry.home_unreachable(self.now, &self.fleet, router);
         self.entry_effects(effects);
         let lost = self.pending_claims.iter().filter(|(_, pending)| &pending.owner == router);
         let lost: Vec<_> = lost.map(|(attempt, pending)| (*attempt, pending.key)).collect();
--- a/crates/stairvale-control/src/handlers/requests.rs
+++ b/crates/stairvale-control/src/handlers/requests.rs
@@ -4,7 +4,7 @@
 
 use stairvale_config::Kind;
 use stairvale_permit::{
-    request::{Directory, Effect, Want},
+    request::{Directory, Effect, UpstreamRequest},
     rules::Answer as HomeAnswer,
 };
 use stairvale_placement::choice::Estimate;
@@ -29,11 +29,11 @@
             self.refuse(attempt, Refusal::new(Reason::NotReady, RETRY_AFTER));
             return;
         };
-        let effects = self.entry.want(self.now, &self.fleet, upstream_request);
+        let effects = self.entry.request_upstream(self.now, &self.fleet, upstream_request);
         self.entry_effects(effects);
     }
 
-    pub(crate) fn upstream_request(&mut self, request: Request) -> Option<Want> {
+    pub(crate) fn upstream_request(&mut self, request: Request) -> Option<UpstreamRequest> {
         let service = self.fleet.service(&request.profile.service)?.clone();
         let is_fleet = self.policy == Policy::Fleet;
         let prefix_affinity = service.kind == Kind::Model && matches!(self.policy, Policy::Fleet | Policy::Hash);
@@ -46,15 +46,15 @@
         }
         let transfers = is_fleet && service.transfer_us_per_token > 0;
         let estimate = Estimate {
-            rebuild: rebuild(request.prompt, service.prefill_us_per_token),
+            prefill: rebuild(request.prompt, service.prefill_us_per_token),
             transfer: transfers.then(|| rebuild(request.prompt, service.transfer_us_per_token)),
-            allowed: if is_fleet { service.prefix_wait } else { Duration::ZERO },
+            max_prefix_wait: if is_fleet { service.prefix_wait } else { Duration::ZERO },
             deadline: request.deadline,
         };
         let chat = request.profile.chat.filter(|_| prefix_affinity && is_fleet);
         let returning = request.profile.returning && prefix_affinity;
         let profile = Profile { chat, returning, ..request.profile };
-        Some(Want { attempt: request.attempt, profile, estimate, candidates })
+        Some(UpstreamRequest { attempt: request.attempt, profile, estimate, candidates })
     }
 
     /// Puts one of the least loaded engines first. The engine is chosen at random among them, so that routers don't all
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -82,7 +82,7 @@
         probe.misses = 0;
         probe.load = Some(report.load);
         probe.loaded = report.model;
-        let answers = self.home.report(self.now, upstream, report.load);
+        let answers = self.home.report_load(self.now, upstream, report.load);
         self.send_answers(answers);
         let status = self.fleet.upstreams.reached(upstream, report.boot, report.change, report.state);
         if let Some(status) = status {
--- a/crates/stairvale-control/src/node.rs
+++ b/crates/stairvale-control/src/node.rs
@@ -287,7 +287,7 @@
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let shards_idle = self.shards.values().all(Shard::is_idle);
-        self.entry.asking() == 0 && self.entry.holding() == 0 && shards_idle && self.unsettled.is_empty()
+        self.entry.pending_attempts() == 0 && self.entry.held_permits() == 0 && shards_idle && self.unsettled.is_empty()
     }
 
     /// This router's view of the fleet.
@@ -344,8 +344,8 @@
             unanswered: entry.unanswered,
             lower_refused: self.config.refused_lower,
             violations: home.violations + entry.violations + self.config.violations,
-            holding: self.entry.holding(),
-            asking: self.entry.asking(),
+            holding: self.entry.held_permits(),
+            asking: self.entry.pending_attempts(),
             waiting: self.home.waiting(),
             routers: self.fleet.swim.live().count(),
             usable: self.fleet.upstreams.iter().filter(|u| self.fleet.takes_work(&u.name)).count(),
@@ -399,7 +399,7 @@
         self.fleet.swim.resumed(self.now);
         // Without a live peer no router can have taken over the accounts.
         self.rejoining = self.fleet.swim.live().count() > 1;
-        let answers = self.home.distrust(self.now);
+        let answers = self.home.restart_accounts(self.now);
         self.send_answers(answers);
         self.request_recounts();
         let effects = self.entry.homes_changed(self.now, &self.fleet);
--- a/crates/stairvale-control/src/sums.rs
+++ b/crates/stairvale-control/src/sums.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use stairvale_permit::{home::EMPTIEST, mean::Sum};
+use stairvale_permit::{home::MAX_EMPTIEST, mean::Sum};
 use stairvale_types::{Moment, id};
 use stairvale_wire::Load;
 
@@ -219,6 +219,6 @@
     let Sum { outstanding, engines, waiting } = sum;
     let mut sum = Load { service: service.clone(), zone: zone.cloned(), outstanding, engines, waiting, emptiest };
     sum.emptiest.sort_by(|(x, a), (y, b)| a.cmp(b).then_with(|| x.cmp(y)));
-    sum.emptiest.truncate(EMPTIEST);
+    sum.emptiest.truncate(MAX_EMPTIEST);
     sum
 }
--- a/crates/stairvale-control/tests/fleet.rs
+++ b/crates/stairvale-control/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use rand::Rng;
 use stairvale_control::{apply::Outcome, orders::Loaded};
-use stairvale_permit::account::SETTLE;
+use stairvale_permit::account::SETTLE_TIME;
 use stairvale_wire::{ClaimVerdict, Frame};
 use world::{DOCUMENT, RequestState, World};
 
@@ -114,7 +114,7 @@
         assert!(held > 0, "the test requires a home that has granted permits");
         world.pause_router("a-router-0", SECOND);
         world.run(SECOND);
-        world.run(SETTLE);
+        world.run(SETTLE_TIME);
         assert_eq!(world.routers["a-router-0"].node.stats().home.distrusted, 1);
         world.assert_no_leaks();
     }
--- a/crates/stairvale-control/tests/world/holds.rs
+++ b/crates/stairvale-control/tests/world/holds.rs
@@ -8,7 +8,7 @@
     pub fn assert_no_leaks(&self) {
         for router in self.routers.values().filter(|router| router.alive) {
             let name = router.node.home().router();
-            assert_eq!(router.node.entry().asking(), 0, "{name} still has requests that wait for a permit");
+            assert_eq!(router.node.entry().pending_attempts(), 0, "{name} still has requests that wait for a permit");
             for upstream in router.node.home().upstreams() {
                 let held = router.node.home().outstanding(upstream).unwrap_or(0);
                 let runs = self.engines[upstream.as_str()].running.len();
--- a/crates/stairvale-permit/benches/grant.rs
+++ b/crates/stairvale-permit/benches/grant.rs
@@ -38,7 +38,7 @@
     let entry = "entry".parse().unwrap();
     for permit in 0..permits {
         for engine in 0..engines {
-            home.ask(now, &entry, ask((permit * engines + engine) as u128, engine));
+            home.request_permit(now, &entry, ask((permit * engines + engine) as u128, engine));
         }
     }
     home
@@ -55,7 +55,7 @@
         attempt += 1;
         let ask = ask(attempt, 0);
         let upstream = ask.upstream.clone();
-        let answers = home.ask(now, &entry, ask);
+        let answers = home.request_permit(now, &entry, ask);
         home.release(now, &entry, &upstream, &[id::Attempt(attempt)]);
         answers.len()
     });
--- a/crates/stairvale-permit/src/account.rs
+++ b/crates/stairvale-permit/src/account.rs
@@ -15,7 +15,7 @@
 ///
 /// The home requests the held permits from every entry as soon as it starts the account; their answers arrive well
 /// within this time.
-pub const SETTLE: Duration = Duration::from_millis(1_200);
+pub const SETTLE_TIME: Duration = Duration::from_millis(1_200);
 /// Number of consecutive renewals of its entry after which a missing permit counts as released: its release was lost.
 const MISSED_RENEWALS: u8 = 2;
 /// Minimum age at which a permit missing from renewals is removed. A renewal may have been sent before the grant
@@ -64,7 +64,7 @@
             open: true,
             shares: Shares::default(),
             reported,
-            settle_until: now + SETTLE,
+            settle_until: now + SETTLE_TIME,
         }
     }
 
@@ -177,7 +177,7 @@
     pub(crate) fn reset(&mut self, now: Moment) {
         self.held.clear();
         self.reported = None;
-        self.settle_until = now + SETTLE;
+        self.settle_until = now + SETTLE_TIME;
     }
 }
 
--- a/crates/stairvale-permit/src/asking.rs
+++ b/crates/stairvale-permit/src/asking.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     entry::MAX_PERMIT_REQUESTS,
-    request::{Directory, Effect, Step, Want},
+    request::{Directory, Effect, Step, UpstreamRequest},
 };
 
 /// Number of usable ranked engines tried before the emptiest ones.
@@ -17,7 +17,7 @@
 /// The state of an attempt that waits for a permit.
 #[derive(Debug)]
 pub(crate) struct PendingAttempt {
-    pub request: Want,
+    pub request: UpstreamRequest,
     pub plan: choice::Plan,
     pub deadline: Moment,
     pub upstream: id::Upstream,
--- a/crates/stairvale-permit/src/entry.rs
+++ b/crates/stairvale-permit/src/entry.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     asking::{PendingAttempt, placeholder},
-    request::{Directory, Effect, Event, Grant, Step, Want},
+    request::{Directory, Effect, Event, Grant, Step, UpstreamRequest},
 };
 
 /// Time after which a home that hasn't answered a permit request counts as unreachable, in addition to the time that
@@ -75,13 +75,13 @@
 
     /// Returns the number of attempts that wait for a permit.
     #[must_use]
-    pub fn asking(&self) -> usize {
+    pub fn pending_attempts(&self) -> usize {
         self.pending.len()
     }
 
     /// Returns the number of attempts that hold a permit.
     #[must_use]
-    pub fn holding(&self) -> usize {
+    pub fn held_permits(&self) -> usize {
         self.permits.len()
     }
 
@@ -97,7 +97,7 @@
     /// Starts to request a permit for an attempt.
     ///
     /// The attempt is refused at once if there is no candidate.
-    pub fn want<D: Directory>(&mut self, now: Moment, directory: &D, request: Want) -> Vec<Effect> {
+    pub fn request_upstream<D: Directory>(&mut self, now: Moment, directory: &D, request: UpstreamRequest) -> Vec<Effect> {
         let attempt = request.attempt;
         let deadline = now + request.estimate.deadline;
         let Some(first) = request.candidates.first().cloned() else {
@@ -212,7 +212,7 @@
     }
 
     /// Handles an unreachable home: its pending requests count as unanswered at once.
-    pub fn unreachable<D: Directory>(&mut self, now: Moment, directory: &D, home: &id::Router) -> Vec<Effect> {
+    pub fn home_unreachable<D: Directory>(&mut self, now: Moment, directory: &D, home: &id::Router) -> Vec<Effect> {
         let affected = self.pending.iter().filter(|(_, pending)| &pending.home == home);
         let attempts: Vec<_> = affected.map(|(attempt, _)| *attempt).collect();
         attempts.into_iter().flat_map(|attempt| self.handle_unanswered(now, directory, attempt)).collect()
@@ -256,7 +256,7 @@
                 pending.home_rank = 0;
                 return self.send_request(now, directory, attempt);
             }
-            self.record_step(now, attempt, &upstream, Event::PassedOver);
+            self.record_step(now, attempt, &upstream, Event::Skipped);
         }
     }
 
@@ -273,7 +273,7 @@
         let ask = pending.build_request(now);
         pending.answer_deadline = now + ask.patience + PERMIT_REQUEST_TIMEOUT;
         let upstream = pending.upstream.clone();
-        self.record_step(now, attempt, &upstream, Event::Asked { home: home.clone(), patience: ask.patience });
+        self.record_step(now, attempt, &upstream, Event::PermitRequested { home: home.clone(), max_wait: ask.patience });
         vec![Effect::Ask { to: home, ask }]
     }
 
@@ -345,7 +345,7 @@
         let upstream = pending.upstream.clone();
         let running = self.running.get(&upstream).copied().unwrap_or(0);
         let share = directory.share(&upstream);
-        let room = share.is_some_and(|share| running < share.own && running.max(share.reported) < share.slots);
+        let room = share.is_some_and(|share| running < share.own_slots && running.max(share.reported_load) < share.slots);
         if !room {
             return self.advance(now, directory, attempt);
         }
--- a/crates/stairvale-permit/src/home.rs
+++ b/crates/stairvale-permit/src/home.rs
@@ -18,7 +18,7 @@
 /// How long an exception is kept after it was last recorded.
 pub const EXCEPTION_TTL: Duration = Duration::from_secs(1_800);
 /// Maximum number of least-loaded engines that an overflow answer suggests.
-pub const EMPTIEST: usize = 3;
+pub const MAX_EMPTIEST: usize = 3;
 
 /// Fleet-wide load of a service, as last received by this home.
 #[derive(Debug, Default)]
@@ -79,7 +79,7 @@
 
     /// Returns whether this home owns an engine's account.
     #[must_use]
-    pub fn keeps(&self, upstream: &id::Upstream) -> bool {
+    pub fn owns(&self, upstream: &id::Upstream) -> bool {
         self.accounts.contains_key(upstream)
     }
 
@@ -121,7 +121,7 @@
         }
         load.waiting = if load.engines > 0 { u32::try_from(min_queued).unwrap_or(0) } else { 0 };
         load.emptiest.sort_by(|(x, a), (y, b)| a.cmp(b).then_with(|| x.cmp(y)));
-        load.emptiest.truncate(EMPTIEST);
+        load.emptiest.truncate(MAX_EMPTIEST);
         load
     }
 
@@ -194,7 +194,7 @@
     /// Restarts all accounts after the process was paused, as their state may be out of date.
     ///
     /// Queued requests are answered with `NotHome`.
-    pub fn distrust(&mut self, now: Moment) -> Vec<Answer> {
+    pub fn restart_accounts(&mut self, now: Moment) -> Vec<Answer> {
         self.counts.distrusted += 1;
         let mut answers = Vec::new();
         for (_, account) in self.accounts.values_mut() {
@@ -212,7 +212,7 @@
     /// Handles an entry's request for a permit.
     ///
     /// There is no answer while the request is queued.
-    pub fn ask(&mut self, now: Moment, entry: &id::Router, ask: Ask) -> Vec<Answer> {
+    pub fn request_permit(&mut self, now: Moment, entry: &id::Router, ask: Ask) -> Vec<Answer> {
         let upstream = ask.upstream.clone();
         let queued = QueuedRequest { entry: entry.clone(), last_resort: ask.patience >= ask.deadline, ask };
         let Some((_, account)) = self.accounts.get(&upstream) else {
@@ -289,7 +289,7 @@
     }
 
     /// Records that a chat's prefix moved away from its first choice `first`, or back to it.
-    pub fn moved(&mut self, now: Moment, chat: id::Chat, first: &id::Upstream, to: &id::Upstream) {
+    pub fn record_prefix_move(&mut self, now: Moment, chat: id::Chat, first: &id::Upstream, to: &id::Upstream) {
         if first == to {
             self.exceptions.remove(chat);
             return;
@@ -306,7 +306,7 @@
     }
 
     /// Records the load that an engine reported.
-    pub fn report(&mut self, now: Moment, upstream: &id::Upstream, load: u32) -> Vec<Answer> {
+    pub fn report_load(&mut self, now: Moment, upstream: &id::Upstream, load: u32) -> Vec<Answer> {
         let Some((_, account)) = self.accounts.get_mut(upstream) else {
             return Vec::new();
         };
@@ -319,7 +319,7 @@
 
     /// Records the summed load of all other homes' engines of a service, and the emptiest engines of the fleet, which
     /// include those of this home as it last reported them.
-    pub fn mean(
+    pub fn update_mean(
         &mut self,
         now: Moment,
         service: &id::Service,
--- a/crates/stairvale-permit/src/request.rs
+++ b/crates/stairvale-permit/src/request.rs
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
     /// Load that the upstream reported last, in outstanding requests.
-    pub reported: u32,
+    pub reported_load: u32,
     /// Total number of slots of the upstream.
     pub slots: u32,
     /// Number of slots that this router may use without a permit.
-    pub own: u32,
+    pub own_slots: u32,
 }
 
 /// A request for which an entry needs an upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Want {
+pub struct UpstreamRequest {
     /// Attempt to serve the request.
     pub attempt: id::Attempt,
     /// Service, customer, class and chat of the request.
@@ -57,18 +57,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A permit was requested from the upstream's home.
-    Asked {
+    PermitRequested {
         /// Home that received the request.
         home: id::Router,
         /// How long the request may wait in the home's queue.
-        patience: Duration,
+        max_wait: Duration,
     },
     /// The home answered the permit request.
     Answered(Verdict),
     /// The home didn't answer the permit request in time.
     Unanswered,
     /// The upstream was skipped because it may take no new work according to this router's directory.
-    PassedOver,
+    Skipped,
     /// The upstream was used without a permit because no home was reached.
     Degraded,
 }
--- a/crates/stairvale-permit/tests/entry.rs
+++ b/crates/stairvale-permit/tests/entry.rs
@@ -13,7 +13,7 @@
 use stairvale_permit::{
     Entry,
     entry::{PERMIT_REQUEST_TIMEOUT, RENEW_INTERVAL},
-    request::{Directory, Effect, Share, Want},
+    request::{Directory, Effect, Share, UpstreamRequest},
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Moment, Reason, Refusal, id};
@@ -48,14 +48,14 @@
     }
 }
 
-fn request(attempt: u128, returning: bool) -> Want {
-    Want {
+fn request(attempt: u128, returning: bool) -> UpstreamRequest {
+    UpstreamRequest {
         attempt: id::Attempt(attempt),
         profile: Profile { returning, ..profile() },
         estimate: Estimate {
-            rebuild: Duration::from_millis(200),
+            prefill: Duration::from_millis(200),
             transfer: Some(Duration::from_millis(30)),
-            allowed: Duration::from_millis(300),
+            max_prefix_wait: Duration::from_millis(300),
             deadline: Duration::from_secs(10),
         },
         candidates: ["e0", "e1", "e2"].iter().map(|name| name.parse().unwrap()).collect(),
@@ -90,7 +90,7 @@
     }
 
     fn start_request(&mut self, returning: bool) -> Vec<Effect> {
-        self.entry.want(NOW, &self.fleet, request(1, returning))
+        self.entry.request_upstream(NOW, &self.fleet, request(1, returning))
     }
 
     fn answer(&mut self, from: &str, engine: &str, verdict: Verdict) -> Vec<Effect> {
@@ -109,7 +109,7 @@
     assert_eq!(find_grant(&effects).unwrap().upstream.as_str(), "e0");
     let effects = setup.entry.end(id::Attempt(1));
     assert!(matches!(&effects[..], [Effect::Release { to, .. }] if to.as_str() == "h0"));
-    assert_eq!(setup.entry.holding(), 0);
+    assert_eq!(setup.entry.held_permits(), 0);
 }
 
 #[test]
@@ -141,7 +141,7 @@
     setup.start_request(false);
     setup.answer("h0", "e0", GRANT);
     assert!(setup.answer("h0", "e0", GRANT).is_empty());
-    assert_eq!(setup.entry.holding(), 1);
+    assert_eq!(setup.entry.held_permits(), 1);
 }
 
 #[test]
@@ -196,11 +196,11 @@
     setup.start_request(false);
     let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT, &setup.fleet);
     assert_eq!(find_ask(&effects).unwrap().0, "h1");
-    setup.fleet.share = Some(Share { reported: 3, slots: 8, own: 1 });
+    setup.fleet.share = Some(Share { reported_load: 3, slots: 8, own_slots: 1 });
     let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 2, &setup.fleet);
     assert!(find_grant(&effects).unwrap().degraded);
     // The share is used up, so the next request falls through to other engines.
-    let next = setup.entry.want(NOW, &setup.fleet, request(2, false));
+    let next = setup.entry.request_upstream(NOW, &setup.fleet, request(2, false));
     assert!(find_ask(&next).is_some());
     setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 3, &setup.fleet);
     let effects = setup.entry.tick(NOW + PERMIT_REQUEST_TIMEOUT * 6, &setup.fleet);
@@ -235,14 +235,14 @@
     let refusal = Refusal::new(Reason::Busy, Duration::from_secs(1));
     let effects = setup.answer("h0", "e0", Verdict::Refused(refusal));
     assert!(matches!(&effects[..], [Effect::Refused { refusal: passed, .. }] if *passed == refusal));
-    assert_eq!(setup.entry.asking(), 0);
+    assert_eq!(setup.entry.pending_attempts(), 0);
 }
 
 #[test]
 fn held_permits_are_renewed_in_one_frame_per_home() {
     let mut setup = Setup::new();
     for attempt in 1..=5 {
-        setup.entry.want(NOW, &setup.fleet, request(attempt, false));
+        setup.entry.request_upstream(NOW, &setup.fleet, request(attempt, false));
         let (from, engine) = ("h0".parse().unwrap(), "e0".parse().unwrap());
         setup.entry.answer(NOW, &setup.fleet, &from, &engine, id::Attempt(attempt), GRANT);
     }
@@ -260,7 +260,7 @@
     setup.fleet.homes.clear();
     let effects = setup.start_request(true);
     assert!(matches!(effects[..], [Effect::Refused { .. }]), "{effects:?}");
-    assert_eq!(setup.entry.asking(), 0);
+    assert_eq!(setup.entry.pending_attempts(), 0);
 }
 
 #[test]
@@ -268,7 +268,7 @@
     let mut setup = Setup::new();
     let mut retry = request(1, true);
     retry.candidates.retain(|engine| engine.as_str() != "e0");
-    setup.entry.want(NOW, &setup.fleet, retry);
+    setup.entry.request_upstream(NOW, &setup.fleet, retry);
     // The home has recorded that the prefix is at the engine that has just failed the request.
     let effects = setup.answer("h1", "e1", Verdict::Elsewhere { upstream: "e0".parse().unwrap() });
     let (home, ask) = find_ask(&effects).unwrap();
--- a/crates/stairvale-permit/tests/spec.rs
+++ b/crates/stairvale-permit/tests/spec.rs
@@ -16,8 +16,8 @@
 use sample::profile;
 use stairvale_permit::{
     Entry, Home,
-    account::SETTLE,
-    request::{Directory, Effect, Share, Want},
+    account::SETTLE_TIME,
+    request::{Directory, Effect, Share, UpstreamRequest},
     rules::{Answer, Rules},
 };
 use stairvale_placement::choice::Estimate;
@@ -130,7 +130,7 @@
             running: false,
         };
         Self {
-            now: Moment::ZERO + SETTLE,
+            now: Moment::ZERO + SETTLE_TIME,
             homes,
             to_home: Default::default(),
             to_entry: (0..ENTRIES).map(|_| VecDeque::new()).collect(),
@@ -230,13 +230,13 @@
         state.asks += 1;
         let attempt = id::Attempt(number as u128 * 100 + state.asks);
         state.attempt = Some(attempt);
-        let request = Want {
+        let request = UpstreamRequest {
             attempt,
             profile: Profile { chat: None, returning: false, ..profile() },
             estimate: Estimate { deadline: Duration::from_secs(60), ..Estimate::default() },
             candidates: vec![engine()],
         };
-        let effects = state.entry.want(self.now, &AssumedHome(state.assumed_home), request);
+        let effects = state.entry.request_upstream(self.now, &AssumedHome(state.assumed_home), request);
         self.send_effects(number, effects);
     }
 
@@ -273,7 +273,7 @@
                 self.to_home[1].push_front(frame);
                 self.serve(1);
             }
-            self.now = self.now + SETTLE;
+            self.now = self.now + SETTLE_TIME;
         }
     }
 
@@ -281,20 +281,20 @@
         if home == 0 && self.resumed {
             self.covered.insert("distrust");
             self.resumed = false;
-            let answers = self.homes[0].distrust(self.now);
+            let answers = self.homes[0].restart_accounts(self.now);
             self.send_answers(0, answers);
         }
         let (from, frame) = self.to_home[home].pop_front().unwrap();
         let entry = entry_name(from);
         let running = self.running();
-        self.homes[home].report(self.now, &engine(), running);
+        self.homes[home].report_load(self.now, &engine(), running);
         let answers = match frame {
             ToHome::Ask(ask) => {
                 // A router that has rejoined after its pause has learnt that it is no longer the home.
                 if home == 0 && self.home == 1 && !self.paused {
                     return;
                 }
-                self.homes[home].ask(self.now, &entry, ask)
+                self.homes[home].request_permit(self.now, &entry, ask)
             }
             ToHome::Release(attempt) => {
                 self.covered.insert("release");
--- a/crates/stairvale-placement/src/choice.rs
+++ b/crates/stairvale-placement/src/choice.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Estimate {
     /// Time to prefill the complete prompt at another engine.
-    pub rebuild: Duration,
+    pub prefill: Duration,
     /// Time to transfer the KV cache to another engine; `None` if the source is gone or can't export it.
     pub transfer: Option<Duration>,
     /// Maximum time that the service allows a request to wait for its prefix.
-    pub allowed: Duration,
+    pub max_prefix_wait: Duration,
     /// Time left until the deadline.
     pub deadline: Duration,
 }
@@ -33,9 +33,9 @@
 /// The wait is also limited by the service and to a quarter of the time left until the deadline.
 #[must_use]
 pub fn plan(estimate: Estimate) -> Plan {
-    let transfer = estimate.transfer.is_some_and(|cost| cost < estimate.rebuild);
-    let cheapest = estimate.transfer.filter(|_| transfer).unwrap_or(estimate.rebuild);
+    let transfer = estimate.transfer.is_some_and(|cost| cost < estimate.prefill);
+    let cheapest = estimate.transfer.filter(|_| transfer).unwrap_or(estimate.prefill);
     let deadline_limit = estimate.deadline / DEADLINE_DIVISOR;
-    let max_wait = cheapest.min(estimate.allowed).min(deadline_limit);
+    let max_wait = cheapest.min(estimate.max_prefix_wait).min(deadline_limit);
     Plan { max_wait, transfer }
 }
