--- a/crates/stairvale-dispatch/benches/pool.rs
+++ b/crates/stairvale-dispatch/benches/pool.rs
@@ -7,7 +7,7 @@
 use divan::{Bencher, black_box};
 use stairvale_dispatch::{
     Ask, Held, Listing, Outcome, Part, Pool,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_rollout::{Policy, Reservation, Stage};
 use stairvale_types::{Moment, id, unit};
@@ -60,9 +60,9 @@
 
 /// Creates a pool in use: engines hold prefixes, and run some five requests each.
 fn pool(engines: usize) -> (Pool, u64, u64) {
-    let cold = Cold { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
+    let cold = ColdLimits { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
     let engine = Some(unit::Tokens(237_549));
-    let mut pool = Pool::new(Rules { engine, copies: true, multiple: 2.0, slack: 3.0, cold: Some(cold) });
+    let mut pool = Pool::new(Rules { engine, copies: true, load_multiple: 2.0, load_slack: 3.0, cold: Some(cold) });
     let known: Vec<_> = (0..engines).map(listing).collect();
     pool.set_members(Moment::ZERO, &known);
     let (mut now, mut number) = (0, 0);
@@ -78,7 +78,7 @@
 fn step(pool: &mut Pool, now: u64, number: u64, running: u64) {
     let now = Moment(now);
     black_box(pool.ask(now, ask(number)));
-    black_box(pool.begun(now, id::Attempt(u128::from(number)), Duration::from_millis(50)));
+    black_box(pool.record_first_event(now, id::Attempt(u128::from(number)), Duration::from_millis(50)));
     if number > running {
         black_box(pool.release(now, id::Attempt(u128::from(number - running)), Outcome::Served, None));
     }
@@ -104,8 +104,8 @@
         let new = |index: u64, tokens| Part { id: 2_000_000 + number * 3 + index, tokens };
         let ask = Ask { parts: vec![new(0, 2_500), new(1, 6_000), new(2, 500)], ..ask(number) };
         black_box(pool.ask(Moment(now), ask));
-        black_box(pool.unknown(|_| true));
-        black_box(pool.begun(Moment(now), id::Attempt(u128::from(number)), Duration::from_millis(50)));
+        black_box(pool.take_unknown_caches(|_| true));
+        black_box(pool.record_first_event(Moment(now), id::Attempt(u128::from(number)), Duration::from_millis(50)));
         let earlier = id::Attempt(u128::from(number - engines as u64 * 5));
         black_box(pool.release(Moment(now), earlier, Outcome::Served, None));
     });
--- a/crates/stairvale-dispatch/src/ask.rs
+++ b/crates/stairvale-dispatch/src/ask.rs
@@ -54,7 +54,7 @@
     /// Returns how long the request may wait for another request to prefill shared parts: half of the objective, so
     /// that there is time to be served elsewhere if the other request fails.
     #[must_use]
-    pub fn follows(&self) -> Duration {
+    pub fn max_prefill_wait(&self) -> Duration {
         self.objective / 2
     }
 
--- a/crates/stairvale-dispatch/src/budget.rs
+++ b/crates/stairvale-dispatch/src/budget.rs
@@ -30,11 +30,11 @@
 /// Each entry router is allowed retries in proportion to its own requests, and an equal part of the free ones. So the
 /// fleet keeps its budget without messages between routers.
 #[derive(Clone, Debug, Default)]
-pub struct Window {
+pub struct RetryWindow {
     steps: VecDeque<Step>,
 }
 
-impl Window {
+impl RetryWindow {
     /// Records that a request arrived.
     pub fn request(&mut self, now: Moment, budget: Budget) {
         self.step(now, budget).requests += 1;
--- a/crates/stairvale-dispatch/src/cache.rs
+++ b/crates/stairvale-dispatch/src/cache.rs
@@ -67,7 +67,7 @@
     }
 
     /// Adds all parts of a prompt that the engine has prefilled.
-    pub fn read(&mut self, parts: &[Part]) {
+    pub fn insert_prompt(&mut self, parts: &[Part]) {
         for (index, part) in parts.iter().enumerate() {
             self.insert(*part, index + 1 < parts.len());
         }
@@ -78,7 +78,7 @@
     pub fn begin_prefill(&mut self, parts: &[Part], reader: id::Attempt) -> Vec<u64> {
         let shared = &parts[..parts.len().saturating_sub(1)];
         let new: Vec<_> = shared.iter().map(|part| part.id).filter(|id| !self.cached.contains_key(id)).collect();
-        self.read(parts);
+        self.insert_prompt(parts);
         for id in &new {
             if let Some(cached) = self.cached.get_mut(id) {
                 cached.reader = Some(reader);
--- a/crates/stairvale-dispatch/src/health.rs
+++ b/crates/stairvale-dispatch/src/health.rs
@@ -70,7 +70,7 @@
 
     /// Whether the last request to the upstream got no response. An error counts as a response.
     #[must_use]
-    pub fn is_silent(&self) -> bool {
+    pub fn is_unresponsive(&self) -> bool {
         self.unresponsive
     }
 
--- a/crates/stairvale-dispatch/src/lib.rs
+++ b/crates/stairvale-dispatch/src/lib.rs
@@ -28,12 +28,12 @@
 pub mod weight;
 
 pub use ask::{Answer, Ask, Held, Outcome, Part, Verdict};
-pub use budget::Window;
+pub use budget::RetryWindow;
 pub use cache::Cache;
 pub use member::{Listing, Member};
 pub use pool::Pool;
-pub use reading::Reading;
-pub use seen::Seen;
+pub use reading::PrefillModel;
+pub use seen::SentPrefixes;
 pub use shares::Shares;
 pub use suspects::Suspects;
 pub use weight::Weight;
--- a/crates/stairvale-dispatch/src/pool.rs
+++ b/crates/stairvale-dispatch/src/pool.rs
@@ -11,7 +11,7 @@
 use stairvale_types::{Moment, id, unit};
 
 use crate::{
-    Answer, Ask, Held, Listing, Member, Outcome, Reading, Shares, Suspects, Weight,
+    Answer, Ask, Held, Listing, Member, Outcome, PrefillModel, Shares, Suspects, Weight,
     member::Hold,
     shares::{Measure, Surplus},
     suspects::Evidence,
@@ -30,7 +30,7 @@
 mod usable;
 mod watch;
 
-pub use allowance::cold::Cold;
+pub use allowance::cold::ColdLimits;
 
 /// A hold that its entry router hasn't renewed for this long is dropped; entry routers renew their holds several times
 /// within it.
@@ -52,11 +52,11 @@
     pub copies: bool,
     /// The load multiple: no upstream may exceed this multiple of the mean number of outstanding requests; zero for no
     /// bound.
-    pub multiple: f64,
+    pub load_multiple: f64,
     /// Requests that are allowed beyond the load multiple.
-    pub slack: f64,
+    pub load_slack: f64,
     /// The limits for cold upstreams; `None` if they aren't configured.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdLimits>,
 }
 
 /// The state of one service at its home router.
@@ -97,7 +97,7 @@
     following: Vec<follow::Follower>,
     last_number: u64,
     /// The model of its engines' time to the first event.
-    prefill: Reading,
+    prefill: PrefillModel,
     /// The mean time of a plain answer, or the mean time from grant to end of an engine's request, in ms.
     mean_time_ms: f64,
     /// How much longer than the answer's time a slot of a plain upstream is occupied, in ms.
@@ -140,7 +140,7 @@
             shares: Shares::default(),
             following: Vec::new(),
             last_number: 0,
-            prefill: Reading::default(),
+            prefill: PrefillModel::default(),
             mean_time_ms: INITIAL_MEAN_TIME_MS,
             transit_ms: 0.0,
             share: allowance::cold::Share::ALL,
@@ -155,7 +155,7 @@
     /// Scans every upstream for every decision. It serves as a reference for the restricted scan, which makes the same
     /// decisions faster.
     #[must_use]
-    pub fn with_whole_look(mut self) -> Self {
+    pub fn with_full_scan(mut self) -> Self {
         self.scan_all = true;
         self
     }
@@ -212,7 +212,7 @@
     /// Returns the number of members that were scanned so far, for decisions and for messages of entry routers. The
     /// time of a decision or a message is proportional to the members that it scans.
     #[must_use]
-    pub fn looks(&self) -> u64 {
+    pub fn scanned_members(&self) -> u64 {
         self.scanned_members.get()
     }
 
@@ -338,7 +338,7 @@
 
     /// Sets the zones none of whose routers responds. If their upstreams are unresponsive as well, such zones are
     /// treated as partitioned.
-    pub fn set_dark(&mut self, unresponsive_zones: BTreeSet<id::Zone>) {
+    pub fn set_unresponsive_zones(&mut self, unresponsive_zones: BTreeSet<id::Zone>) {
         self.unresponsive_zones = unresponsive_zones;
     }
 
@@ -350,14 +350,14 @@
     }
 
     /// Cancels an attempt whose entry router no longer waits for an answer.
-    pub fn forget(&mut self, now: Moment, attempt: id::Attempt) -> Vec<Answer> {
+    pub fn cancel(&mut self, now: Moment, attempt: id::Attempt) -> Vec<Answer> {
         self.stop_waiting(attempt);
         self.stop_following(attempt);
         self.release(now, attempt, Outcome::Abandoned, None)
     }
 
     /// Records the first event of an attempt, which came `took` after the request was sent.
-    pub fn begun(&mut self, now: Moment, attempt: id::Attempt, took: Duration) -> Vec<Answer> {
+    pub fn record_first_event(&mut self, now: Moment, attempt: id::Attempt, took: Duration) -> Vec<Answer> {
         let Some(member) = self.placements.get(attempt).and_then(|upstream| self.members.get_mut(upstream)) else {
             return Vec::new();
         };
--- a/crates/stairvale-dispatch/src/pool/allowance/cold.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/cold.rs
@@ -16,7 +16,7 @@
 
 /// The rates that a cold upstream sustains and must not exceed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdLimits {
     /// Requests per second that a cold upstream sustains.
     pub pace: f64,
     /// Requests in any second that the whole fleet must not exceed.
@@ -53,13 +53,13 @@
 impl Pool {
     /// Sets this router's share of the fleet-wide limit for cold upstreams: the share of the routers that send it their
     /// requests if it is the service's home, otherwise zero.
-    pub fn set_share(&mut self, now: Moment, fraction: f64) {
+    pub fn set_cold_share(&mut self, now: Moment, fraction: f64) {
         let since = if self.share.fraction > 0.0 { self.share.since } else { now + GRANT_WINDOW };
         self.share = Share { fraction: fraction.clamp(0.0, 1.0), since };
     }
 
     /// Presumes that the upstreams of a zone that is used again are cold, since they may have turned cold meanwhile.
-    pub fn take_back(&mut self, now: Moment, zone: &id::Zone) {
+    pub fn presume_zone_cold(&mut self, now: Moment, zone: &id::Zone) {
         let time = self.rules.cold.map_or(Duration::ZERO, |cold| cold.time);
         for member in self.members.values_mut().filter(|member| &member.zone == zone) {
             member.presume_cold(now + time);
--- a/crates/stairvale-dispatch/src/pool/allowance/reach.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/reach.rs
@@ -30,7 +30,7 @@
     /// that is sent to an unresponsive upstream fails later than one that is refused at once.
     pub(in crate::pool) fn reaches(&self, member: &Member) -> bool {
         let partitioned = self.partitioned.contains(&&member.zone);
-        let worth_trying = || self.only_partitioned && (!member.health.is_silent() || member.health.is_open(self.now));
+        let worth_trying = || self.only_partitioned && (!member.health.is_unresponsive() || member.health.is_open(self.now));
         member.usable && (!partitioned || worth_trying())
     }
 
@@ -54,7 +54,7 @@
     /// time-out and prefills all parts after that. Engines whose version is on trial or gets no requests any more
     /// aren't sources either: the former may be faulty, and the latter are about to stop.
     pub(in crate::pool) fn can_copy(&self, member: &Member) -> bool {
-        member.serves() && !self.partitioned.contains(&&member.zone) && !member.health.is_silent()
+        member.serves() && !self.partitioned.contains(&&member.zone) && !member.health.is_unresponsive()
     }
 }
 
@@ -72,7 +72,7 @@
     /// still run.
     fn is_partitioned(&self, now: Moment, zone: &id::Zone) -> bool {
         let answers = self.last_answers.get(zone).is_some_and(|at| now.since(*at) < RECENT_ANSWER);
-        let silent = |member: &Member| &member.zone == zone && member.health.is_silent();
+        let silent = |member: &Member| &member.zone == zone && member.health.is_unresponsive();
         !answers && self.members.values().any(silent)
     }
 }
--- a/crates/stairvale-dispatch/src/pool/allowance/versions.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/versions.rs
@@ -233,7 +233,7 @@
         self.watch.count();
         if self.versions.active.as_ref().is_some_and(|active| active.is_active(now)) {
             self.select(now);
-            self.versions.distribute(now, ask, self.rules.multiple);
+            self.versions.distribute(now, ask, self.rules.load_multiple);
         }
     }
 
--- a/crates/stairvale-dispatch/src/pool/choose.rs
+++ b/crates/stairvale-dispatch/src/pool/choose.rs
@@ -96,7 +96,7 @@
     /// Returns the load bound: the configured multiple of the mean number of requests, plus the slack.
     #[allow(clippy::cast_precision_loss)]
     fn bound(&self, reach: &Reach<'_>) -> f64 {
-        if self.rules.multiple <= 0.0 {
+        if self.rules.load_multiple <= 0.0 {
             return f64::MAX;
         }
         let usable = if reach.all_reachable() {
@@ -108,7 +108,7 @@
         };
         let mean = self.placements.len() as f64 / usable.max(1) as f64;
         // One less than allowed, since grants that are on their way aren't visible to every router at once.
-        (mean * self.rules.multiple + self.rules.slack - 1.0).max(1.0)
+        (mean * self.rules.load_multiple + self.rules.load_slack - 1.0).max(1.0)
     }
 
     #[allow(clippy::cast_precision_loss)]
--- a/crates/stairvale-dispatch/src/pool/follow.rs
+++ b/crates/stairvale-dispatch/src/pool/follow.rs
@@ -23,7 +23,7 @@
 
 impl Follower {
     fn until(&self) -> Moment {
-        self.arrived + self.ask.follows()
+        self.arrived + self.ask.max_prefill_wait()
     }
 }
 
@@ -31,7 +31,7 @@
     /// Returns the attempt that a request should wait for: one that is prefilling parts which the request lacks as
     /// well, and will finish soon.
     fn leader(&self, now: Moment, ask: &Ask, arrived: Moment) -> Option<id::Attempt> {
-        let until = arrived + ask.follows();
+        let until = arrived + ask.max_prefill_wait();
         if until <= now || ask.shared().is_empty() || !ask.avoid.is_empty() {
             return None;
         }
--- a/crates/stairvale-dispatch/src/pool/holders.rs
+++ b/crates/stairvale-dispatch/src/pool/holders.rs
@@ -67,7 +67,7 @@
 
     /// Returns engines whose cache contents aren't recorded here, if `may_ask` permits a query now. Each engine is
     /// returned once.
-    pub fn unknown(&mut self, may_ask: impl Fn(&id::Upstream) -> bool) -> Vec<id::Upstream> {
+    pub fn take_unknown_caches(&mut self, may_ask: impl Fn(&id::Upstream) -> bool) -> Vec<id::Upstream> {
         let mut cache_unknown: Vec<_> = self.cache_unknown.extract_if(.., |engine| may_ask(engine)).collect();
         cache_unknown.retain(|id| {
             let unknown = self.members.get_mut(id).filter(|member| member.memory > 0 && !member.cache_known);
@@ -77,9 +77,9 @@
     }
 
     /// Records a prompt that the home granted to an upstream, since this router may become the home next.
-    pub fn learn_read(&mut self, upstream: &id::Upstream, parts: &[Part]) {
+    pub fn record_prefill(&mut self, upstream: &id::Upstream, parts: &[Part]) {
         if let Some(member) = self.members.get_mut(upstream) {
-            member.cache.read(parts);
+            member.cache.insert_prompt(parts);
             self.holders.apply_changes(member);
         }
     }
@@ -102,7 +102,7 @@
             return;
         }
         if let Some(member) = self.members.get_mut(upstream) {
-            member.cache.read(parts);
+            member.cache.insert_prompt(parts);
             self.holders.apply_changes(member);
         }
     }
--- a/crates/stairvale-dispatch/src/pool/quarantine.rs
+++ b/crates/stairvale-dispatch/src/pool/quarantine.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the requests that were found to crash upstreams since the last call.
-    pub fn take_found(&mut self) -> Vec<id::Fingerprint> {
+    pub fn take_crash_causes(&mut self) -> Vec<id::Fingerprint> {
         std::mem::take(&mut self.found)
     }
 
@@ -91,7 +91,7 @@
 
     /// Returns the members that a request may go to.
     pub(super) fn scope(&self, ask: &Ask) -> Scope {
-        let ends = self.suspects.ends(ask.fingerprint);
+        let ends = self.suspects.crash_count(ask.fingerprint);
         if ends == 0 {
             return Scope::Any;
         }
@@ -105,7 +105,7 @@
         if ends < MIN_CRASHES_APART {
             return Scope::Any;
         }
-        let suspected = |hold: &Hold| self.suspects.ends(hold.fingerprint) >= MIN_CRASHES_APART;
+        let suspected = |hold: &Hold| self.suspects.crash_count(hold.fingerprint) >= MIN_CRASHES_APART;
         let occupied = self.members.values().filter(|member| member.held().values().any(suspected));
         let occupied: BTreeSet<_> = occupied.map(|member| member.id.clone()).collect();
         // Where there are as many suspects as upstreams, they can't be kept apart.
--- a/crates/stairvale-dispatch/src/pool/queue.rs
+++ b/crates/stairvale-dispatch/src/pool/queue.rs
@@ -119,7 +119,7 @@
             if let Some(answer) = self.try_grant(now, &ask) {
                 self.dequeue(index);
                 answers.push(answer);
-            } else if ask.avoid.is_empty() && ask.within.is_none() && self.suspects.ends(ask.fingerprint) == 0 {
+            } else if ask.avoid.is_empty() && ask.within.is_none() && self.suspects.crash_count(ask.fingerprint) == 0 {
                 // A later request that may go to the same upstreams would find no room either.
                 break;
             } else {
--- a/crates/stairvale-dispatch/src/reading.rs
+++ b/crates/stairvale-dispatch/src/reading.rs
@@ -17,20 +17,20 @@
 
 /// A linear model of the time to the first event: a base, and a time per token.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct PrefillModel {
     /// The time to the first event without a prefill, in ms.
     base_ms: f64,
     /// The prefill time per token, in ms.
     token_ms: f64,
 }
 
-impl Default for Reading {
+impl Default for PrefillModel {
     fn default() -> Self {
         Self { base_ms: INITIAL_BASE_MS, token_ms: 1.0 / INITIAL_TOKENS_PER_MS }
     }
 }
 
-impl Reading {
+impl PrefillModel {
     /// Returns the prefill time of a number of tokens, in ms.
     #[must_use]
     pub fn time(&self, tokens: f64) -> f64 {
--- a/crates/stairvale-dispatch/src/seen.rs
+++ b/crates/stairvale-dispatch/src/seen.rs
@@ -12,7 +12,7 @@
 
 /// A bounded map from shared prefixes to upstreams.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct SentPrefixes {
     upstreams: HashMap<u64, id::Upstream>,
     order: VecDeque<u64>,
 }
@@ -22,7 +22,7 @@
     &parts[..parts.len().saturating_sub(1)]
 }
 
-impl Seen {
+impl SentPrefixes {
     /// Records that a prompt was sent to an upstream.
     pub fn remember(&mut self, parts: &[Part], upstream: &id::Upstream) {
         for depth in 1..=shared(parts).len() {
--- a/crates/stairvale-dispatch/src/suspects.rs
+++ b/crates/stairvale-dispatch/src/suspects.rs
@@ -13,11 +13,11 @@
 use stairvale_types::{Moment, id};
 
 /// Minimum number of crashes under one request for it to be found: fewer aren't conclusive, whatever the crash rate is.
-pub const LEAST: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 /// Number of crashes under one request in a row that need no comparison with the crash rate. A harmless request would
 /// have to be sent this often, to an upstream that crashes for another reason each time. A cause crashes up to two more
 /// upstreams than necessary where the crash rate is high.
-pub const MOST: usize = 5;
+pub const MAX_CRASHES: usize = 5;
 /// A request is found to be the cause when a harmless request would meet as many crashes with this probability at most.
 /// Of ten thousand requests, each sent up to three times while half of the upstreams crash for other reasons every 2 to
 /// 20 seconds, none was found; the cause was found after five crashes (`tests/suspects.rs`).
@@ -111,7 +111,7 @@
 
     /// Returns how many upstreams have crashed under a request since it was last served.
     #[must_use]
-    pub fn ends(&self, fingerprint: id::Fingerprint) -> usize {
+    pub fn crash_count(&self, fingerprint: id::Fingerprint) -> usize {
         self.suspects.get(&fingerprint).map_or(0, |suspect| suspect.runs.len())
     }
 
@@ -273,7 +273,7 @@
         if self.is_indistinguishable(fingerprint, suspect) {
             return false;
         }
-        suspect.runs.len() >= MOST || self.chance(suspect, exposure) <= MAX_CHANCE
+        suspect.runs.len() >= MAX_CRASHES || self.chance(suspect, exposure) <= MAX_CHANCE
     }
 
     /// Whether another request has at least as many crashes, including all crashes under this one.
@@ -297,7 +297,7 @@
 impl Suspect {
     /// Whether there were crashes since the last judgement, and enough of them.
     fn is_pending(&self) -> bool {
-        let enough = self.runs.len() >= LEAST || self.was_found;
+        let enough = self.runs.len() >= MIN_CRASHES || self.was_found;
         enough && self.runs.len() > self.judged_runs
     }
 }
--- a/crates/stairvale-dispatch/tests/cold.rs
+++ b/crates/stairvale-dispatch/tests/cold.rs
@@ -7,7 +7,7 @@
 use quickcheck::{Arbitrary, Gen, TestResult, quickcheck};
 use stairvale_dispatch::{
     Answer, Ask, Listing, Outcome, Part, Pool, Verdict,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_types::{Moment, id, outcome::Reason, unit};
 
@@ -21,9 +21,9 @@
 }
 
 fn rules(rate: f64) -> Rules {
-    let cold = Cold { pace: rate, bound: rate * 1.5 + 5.0, time: Duration::from_secs(3) };
+    let cold = ColdLimits { pace: rate, bound: rate * 1.5 + 5.0, time: Duration::from_secs(3) };
     let engine = Some(unit::Tokens(100_000));
-    Rules { engine, copies: true, multiple: 0.0, slack: 3.0, cold: Some(cold) }
+    Rules { engine, copies: true, load_multiple: 0.0, load_slack: 3.0, cold: Some(cold) }
 }
 
 fn listing(name: &str, zone: &str, cold_ms: u64, revision: u64) -> Listing {
@@ -96,7 +96,7 @@
     pool.set_members(at(0), &[listing("e0", "a", 0, 1), listing("e1", "a", 0, 1)]);
     let prompt = [(7, 2_000), (8, 6_000), (100, 500)];
     let first = granted_upstream(&pool.ask(at(1), request(1, &prompt)), 1).unwrap();
-    pool.begun(at(40), id::Attempt(1), Duration::from_millis(40));
+    pool.record_first_event(at(40), id::Attempt(1), Duration::from_millis(40));
     pool.release(at(50), id::Attempt(1), Outcome::Served, None);
     let held = |pool: &Pool| pool.prefixes().map(|(_, parts)| parts.len()).sum::<usize>();
     assert_eq!(held(&pool), 2);
@@ -144,7 +144,7 @@
     let cold = |pool: &Pool, now| pool.members().map(|member| member.is_cold(now)).collect::<Vec<_>>();
     assert_eq!(cold(&pool, at(3_000)), [false, true]);
     assert_eq!(cold(&pool, at(3_200)), [false, false]);
-    pool.take_back(at(5_000), &"a".parse().unwrap());
+    pool.presume_zone_cold(at(5_000), &"a".parse().unwrap());
     assert_eq!(cold(&pool, at(7_900)), [true, false]);
 }
 
@@ -152,12 +152,12 @@
 fn a_new_home_and_an_entry_without_a_home_give_nothing_to_cold_engines() {
     let mut pool = Pool::new(rules(COLD_RATE));
     pool.set_members(at(0), &[listing("e0", "a", 60_000, 1)]);
-    pool.set_share(at(5), 0.0);
+    pool.set_cold_share(at(5), 0.0);
     assert_eq!(count_grants(&mut pool, at(10), 0, 50), 0);
-    pool.set_share(at(100), 1.0);
+    pool.set_cold_share(at(100), 1.0);
     assert_eq!(count_grants(&mut pool, at(1_300), 100, 50), 0);
     let all = count_grants(&mut pool, at(1_400), 200, 50);
-    pool.set_share(at(3_000), 0.5);
+    pool.set_cold_share(at(3_000), 0.5);
     let half = count_grants(&mut pool, at(3_000), 300, 50);
     assert!(half > 0 && half <= all / 2, "{half} of {all}");
 }
@@ -172,13 +172,13 @@
         Ask { within, ..request(number, &prompt) }
     };
     assert_eq!(granted_upstream(&pool.ask(at(1), restricted(1, &["b"])), 1), Some("e1".parse().unwrap()));
-    pool.begun(at(40), id::Attempt(1), Duration::from_millis(40));
+    pool.record_first_event(at(40), id::Attempt(1), Duration::from_millis(40));
     for number in 2..6 {
         let answers = pool.ask(at(50), restricted(number, &["a"]));
         let verdict = answers.into_iter().find(|answer| answer.attempt == id::Attempt(number)).unwrap().verdict;
         let Verdict::Granted { upstream, source, .. } = verdict else { panic!("refused") };
         assert_eq!((upstream, source), ("e0".parse().unwrap(), None));
-        pool.begun(at(51), id::Attempt(number), Duration::from_millis(40));
+        pool.record_first_event(at(51), id::Attempt(number), Duration::from_millis(40));
     }
     let answers = pool.ask(at(60), restricted(10, &[]));
     assert!(matches!(&answers[0].verdict, Verdict::Refused(refusal) if refusal.reason == Reason::NoUpstream));
@@ -240,7 +240,7 @@
                     (true, true) => routers - routers / 2,
                     (false, _) => 0,
                 };
-                pool.set_share(at(now), askers as f64 / routers as f64);
+                pool.set_cold_share(at(now), askers as f64 / routers as f64);
             }
             let deciders: Vec<usize> = match step {
                 Step::Request(count) => (0..usize::from(count)).map(|index| homes[index % homes.len()]).collect(),
--- a/crates/stairvale-dispatch/tests/fleet/mod.rs
+++ b/crates/stairvale-dispatch/tests/fleet/mod.rs
@@ -13,7 +13,7 @@
 }
 
 pub fn engines() -> Rules {
-    Rules { engine: Some(unit::Tokens(200_000)), copies: true, multiple: 2.0, slack: 3.0, cold: None }
+    Rules { engine: Some(unit::Tokens(200_000)), copies: true, load_multiple: 2.0, load_slack: 3.0, cold: None }
 }
 
 pub fn version(name: &str) -> id::Version {
--- a/crates/stairvale-dispatch/tests/histories.rs
+++ b/crates/stairvale-dispatch/tests/histories.rs
@@ -10,7 +10,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use stairvale_dispatch::{
     Answer, Ask, Held, Member, Outcome, Pool, Verdict,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_rollout::{
     Admission::{Any, Last, Nothing, Trial},
@@ -128,7 +128,7 @@
                 }
                 Step::Begin(value) => {
                     let Some(index) = any(value) else { continue };
-                    pool.begun(at(now), running[index].attempt, Duration::from_millis(u64::from(value)))
+                    pool.record_first_event(at(now), running[index].attempt, Duration::from_millis(u64::from(value)))
                 }
                 Step::Pass(value) => {
                     now += u64::from(value);
@@ -227,7 +227,7 @@
                 let parts = if key == 8 { &parts[2..] } else { &parts[..] };
                 pool.ask(now, Ask { attempt, repeatable: time % 4 != 0, ..request(0, u64::from(time % 3), parts) })
             }
-            5 => pool.begun(now, earlier, Duration::from_millis(u64::from(*time))),
+            5 => pool.record_first_event(now, earlier, Duration::from_millis(u64::from(*time))),
             6 => {
                 let outcomes = [Outcome::Served, Outcome::Failed, Outcome::Silent, Outcome::Abandoned];
                 pool.release(now, earlier, outcomes[usize::from(*key % 4)], None)
@@ -253,14 +253,14 @@
 }
 
 fn cold_rules() -> Rules {
-    Rules { cold: Some(Cold { pace: 10.0, bound: 20.0, time: Duration::from_millis(50) }), ..engines() }
+    Rules { cold: Some(ColdLimits { pace: 10.0, bound: 20.0, time: Duration::from_millis(50) }), ..engines() }
 }
 
 quickcheck! {
     /// A scan of only those engines that hold the prefix of a prompt gives the same decisions as a full scan, under any
     /// policy.
     fn a_partial_scan_decides_like_a_full_scan_under_any_policy(steps: Vec<(u8, u8, u8)>) -> bool {
-        let (mut partial, mut full) = (Pool::new(cold_rules()), Pool::new(cold_rules()).with_whole_look());
+        let (mut partial, mut full) = (Pool::new(cold_rules()), Pool::new(cold_rules()).with_full_scan());
         replay(&mut partial, 5, true, &steps) == replay(&mut full, 5, true, &steps)
     }
 
@@ -276,7 +276,7 @@
 
     /// While nothing is reserved, a version on trial doesn't change the decisions about the old one.
     fn a_version_on_trial_without_a_reservation_changes_nothing(steps: Vec<(u8, u8, u8)>) -> bool {
-        let rules = Rules { multiple: 0.0, ..cold_rules() };
+        let rules = Rules { load_multiple: 0.0, ..cold_rules() };
         let (mut alone, mut ordered) = (Pool::new(rules), Pool::new(rules));
         ordered.set_policy(at(0), policy(Stage::Trial));
         replay(&mut alone, 0, false, &steps) == replay(&mut ordered, 5, false, &steps)
@@ -300,13 +300,13 @@
             let before: u32 = pool.members().map(Member::running).sum();
             if let Some(upstream) = granted_upstream(&pool.ask(now, request)) {
                 running.push(attempt);
-                pool.begun(now, attempt, Duration::from_millis(50));
+                pool.record_first_event(now, attempt, Duration::from_millis(50));
                 let held = f64::from(pool.running(&upstream) - 1);
                 if held > 2.0 * f64::from(before) / 10.0 + 3.0 {
                     return false;
                 }
             } else {
-                pool.forget(now, attempt);
+                pool.cancel(now, attempt);
             }
         }
         true
--- a/crates/stairvale-dispatch/tests/lives.rs
+++ b/crates/stairvale-dispatch/tests/lives.rs
@@ -51,7 +51,7 @@
 }
 
 fn pool() -> Pool {
-    let rules = Rules { engine: Some(unit::Tokens(100_000)), copies: true, multiple: 2.0, slack: 3.0, cold: None };
+    let rules = Rules { engine: Some(unit::Tokens(100_000)), copies: true, load_multiple: 2.0, load_slack: 3.0, cold: None };
     let mut pool = Pool::new(rules);
     pool.set_members(at(0), &[listing("e0@1000", 1)]);
     pool
@@ -62,7 +62,7 @@
     let mut pool = pool();
     let (upstream, read) = grant(&pool.ask(at(10), request(1)));
     assert_eq!(read, 6_100);
-    pool.begun(at(300), id::Attempt(1), Duration::from_millis(290));
+    pool.record_first_event(at(300), id::Attempt(1), Duration::from_millis(290));
     assert_eq!(grant(&pool.ask(at(310), request(2))).1, 100, "the upstream holds the shared prefix");
     pool.update(at(400), &[listing("e0@2000", 2)], &[]);
     assert_eq!(pool.running(&upstream), 0);
@@ -85,7 +85,7 @@
     }
     pool.update(at(100), &[listing("e0@2000", 2)], &[]);
     let member = pool.members().next().unwrap();
-    assert!(!member.health.is_silent() && member.health.is_open(at(101)));
+    assert!(!member.health.is_unresponsive() && member.health.is_open(at(101)));
 }
 
 #[test]
@@ -103,5 +103,5 @@
     pool.ask(at(10), request(1));
     pool.update(at(400), &[listing("e0@2000", 2)], &[]);
     pool.release(at(410), id::Attempt(1), Outcome::Ended, None);
-    assert_eq!(pool.suspects().ends(id::Fingerprint(1)), 1);
+    assert_eq!(pool.suspects().crash_count(id::Fingerprint(1)), 1);
 }
--- a/crates/stairvale-dispatch/tests/looks.rs
+++ b/crates/stairvale-dispatch/tests/looks.rs
@@ -28,7 +28,7 @@
 fn pool(upstreams: usize) -> Pool {
     let mut pool = fleet::pool(engines(), upstreams, 0, 32);
     // Marks the engines' prefixes as known; otherwise a router queries the engines for them.
-    pool.unknown(|_| true);
+    pool.take_unknown_caches(|_| true);
     pool
 }
 
@@ -45,8 +45,8 @@
             [(prompt % 4 + 1, 2_000), (1_000 + prompt, 6_000), (1_000_000 + u64::try_from(number).unwrap(), 500)];
         let answers = pool.ask(now, Ask { entry: entry(number), ..request(number, 0, &parts) });
         assert!(granted_upstream(&answers).is_some() || pool.waiting() > 0);
-        pool.begun(now, id::Attempt(number), Duration::from_millis(50));
-        pool.unknown(|_| true);
+        pool.record_first_event(now, id::Attempt(number), Duration::from_millis(50));
+        pool.take_unknown_caches(|_| true);
         if number >= 10 {
             pool.release(now, id::Attempt(number - 10), Outcome::Served, None);
         }
@@ -55,9 +55,9 @@
 
 /// Returns the members that were scanned by `run`, per request.
 fn scans_per_request(pool: &mut Pool, run: impl FnOnce(&mut Pool)) -> u64 {
-    let before = pool.looks();
+    let before = pool.scanned_members();
     run(pool);
-    (pool.looks() - before) / u64::try_from(REQUESTS).unwrap()
+    (pool.scanned_members() - before) / u64::try_from(REQUESTS).unwrap()
 }
 
 #[test]
@@ -95,7 +95,7 @@
 fn the_status_report_of_an_entry_scans_only_its_own_requests() {
     let mut pool = pool(LARGE_FLEET);
     run_requests(&mut pool, 0, 50);
-    let before = pool.looks();
+    let before = pool.scanned_members();
     for number in 0..ENTRIES {
         let entry = entry(number);
         let of_entry = pool.members().flat_map(|member| {
@@ -112,25 +112,25 @@
         let of_entry: Vec<_> = of_entry.collect();
         pool.renew(at(1_000), &entry, &of_entry);
     }
-    assert!(pool.looks() - before <= 200, "{} members scanned", pool.looks() - before);
+    assert!(pool.scanned_members() - before <= 200, "{} members scanned", pool.scanned_members() - before);
 }
 
 #[test]
 fn a_tick_scans_only_running_requests() {
     let mut pool = pool(LARGE_FLEET);
     run_requests(&mut pool, 0, 50);
-    let before = pool.looks();
+    let before = pool.scanned_members();
     pool.tick(at(1_000));
-    assert!(pool.looks() - before <= 100, "{} members scanned", pool.looks() - before);
+    assert!(pool.scanned_members() - before <= 100, "{} members scanned", pool.scanned_members() - before);
 }
 
 #[test]
 fn a_failing_upstream_is_compared_with_only_a_sample_of_others() {
     let mut pool = pool(LARGE_FLEET);
     run_requests(&mut pool, 0, 50);
-    let before = pool.looks();
+    let before = pool.scanned_members();
     pool.release(at(1_000), id::Attempt(REQUESTS - 1), Outcome::Failed, None);
-    assert!(pool.looks() - before <= 200, "{} members scanned", pool.looks() - before);
+    assert!(pool.scanned_members() - before <= 200, "{} members scanned", pool.scanned_members() - before);
 }
 
 /// Sends requests with many prompts, of which `running` run at once, more than there are engines. Returns the prompt
@@ -148,7 +148,7 @@
                 read += u64::from(*tokens);
             }
         }
-        pool.begun(now, id::Attempt(number), Duration::from_millis(50));
+        pool.record_first_event(now, id::Attempt(number), Duration::from_millis(50));
         if number >= running {
             pool.release(now, id::Attempt(number - running), Outcome::Served, None);
         }
@@ -160,7 +160,7 @@
 #[test]
 fn a_partial_scan_under_high_concurrency_is_as_good_as_a_full_scan() {
     const ENGINES: usize = 600;
-    let (mut partial, mut full) = (pool(ENGINES), pool(ENGINES).with_whole_look());
+    let (mut partial, mut full) = (pool(ENGINES), pool(ENGINES).with_full_scan());
     let (partial, full) = (run_concurrent(&mut partial, 1_500), run_concurrent(&mut full, 1_500));
     assert!(partial.0 * 100 <= full.0 * 102, "{partial:?} and {full:?}");
     assert!(partial.1 <= full.1 + 1, "{partial:?} and {full:?}");
--- a/crates/stairvale-dispatch/tests/parts.rs
+++ b/crates/stairvale-dispatch/tests/parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use stairvale_dispatch::{Cache, Part, Reading, Seen, Window, budget::Budget};
+use stairvale_dispatch::{Cache, Part, PrefillModel, SentPrefixes, RetryWindow, budget::Budget};
 use stairvale_types::{Moment, id};
 
 fn budget() -> Budget {
@@ -18,7 +18,7 @@
 
 #[test]
 fn free_retries_are_shared_among_routers() {
-    let mut window = Window::default();
+    let mut window = RetryWindow::default();
     let now = Moment::from_millis(5);
     let spent = (0..20).filter(|_| window.spend(now, budget(), 5)).count();
     assert_eq!(spent, 2);
@@ -26,7 +26,7 @@
 
 #[test]
 fn retries_are_available_again_after_the_window() {
-    let mut window = Window::default();
+    let mut window = RetryWindow::default();
     assert!(window.spend(Moment::from_millis(0), budget(), 10));
     assert!(!window.spend(Moment::from_millis(9_000), budget(), 10));
     assert!(window.spend(Moment::from_millis(11_000), budget(), 10));
@@ -35,10 +35,10 @@
 #[test]
 fn the_least_recently_used_block_is_evicted() {
     let mut cache = Cache::new(1_000);
-    cache.read(&parts(&[(1, 400)]));
-    cache.read(&parts(&[(2, 400)]));
-    cache.read(&parts(&[(1, 400)]));
-    cache.read(&parts(&[(3, 400)]));
+    cache.insert_prompt(&parts(&[(1, 400)]));
+    cache.insert_prompt(&parts(&[(2, 400)]));
+    cache.insert_prompt(&parts(&[(1, 400)]));
+    cache.insert_prompt(&parts(&[(3, 400)]));
     assert_eq!(cache.covers(&parts(&[(1, 400)])), 400);
     assert_eq!(cache.covers(&parts(&[(2, 400)])), 0);
 }
@@ -46,7 +46,7 @@
 #[test]
 fn a_block_counts_only_behind_the_same_prefix() {
     let mut cache = Cache::new(1_000);
-    cache.read(&parts(&[(1, 100), (2, 100)]));
+    cache.insert_prompt(&parts(&[(1, 100), (2, 100)]));
     assert_eq!(cache.covers(&parts(&[(1, 100), (2, 100), (3, 100)])), 200);
     assert_eq!(cache.covers(&parts(&[(4, 100), (2, 100)])), 0);
 }
@@ -54,7 +54,7 @@
 #[test]
 fn only_shared_blocks_are_taken_over() {
     let (mut old, mut new) = (Cache::new(1_000), Cache::new(1_000));
-    old.read(&parts(&[(1, 100), (2, 100), (9, 100)]));
+    old.insert_prompt(&parts(&[(1, 100), (2, 100), (9, 100)]));
     new.learn(&old.shared());
     assert_eq!(new.covers(&parts(&[(1, 100), (2, 100), (8, 100)])), 200);
     assert_eq!(
@@ -66,7 +66,7 @@
 
 #[test]
 fn entries_remember_the_longest_prefix() {
-    let mut seen = Seen::default();
+    let mut seen = SentPrefixes::default();
     let (e1, e2): (id::Upstream, id::Upstream) = ("e1".parse().unwrap(), "e2".parse().unwrap());
     seen.remember(&parts(&[(1, 10), (2, 10), (9, 10)]), &e1);
     seen.remember(&parts(&[(1, 10), (3, 10), (8, 10)]), &e2);
@@ -80,7 +80,7 @@
     /// although some took far longer.
     fn the_time_to_the_first_event_is_learned(base: u8, rate: u8, sizes: Vec<u16>) -> bool {
         let (base, per_token) = (5.0 + f64::from(base), 1.0 / (10.0 + f64::from(rate)));
-        let mut reading = Reading::default();
+        let mut reading = PrefillModel::default();
         for round in 0..400_u32 {
             let size = sizes.get(round as usize % sizes.len().max(1)).copied().unwrap_or(50);
             let tokens = if round % 2 == 0 { f64::from(size % 200) } else { 800.0 + f64::from(size) };
@@ -97,7 +97,7 @@
     /// Whenever a retry is spent, the retries of the window that ends there stay within the ratio and an equal share of
     /// the free retries.
     fn retries_stay_within_the_budget(events: Vec<(u16, bool)>) -> bool {
-        let mut window = Window::default();
+        let mut window = RetryWindow::default();
         let mut now = 0_u64;
         let mut all: Vec<(u64, bool)> = Vec::new();
         for (gap, retry) in events {
@@ -130,7 +130,7 @@
             let prompt: Vec<_> = prompt.iter().map(|(id, tokens)| Part { id: id % 8, tokens: u32::from(*tokens) }).collect();
             let total: u32 = prompt.iter().map(|part| part.tokens).sum();
             let covered = cache.covers(&prompt);
-            cache.read(&prompt);
+            cache.insert_prompt(&prompt);
             covered <= total
         })
     }
--- a/crates/stairvale-dispatch/tests/paths.rs
+++ b/crates/stairvale-dispatch/tests/paths.rs
@@ -55,12 +55,12 @@
         version: None,
     };
     let members: Vec<_> = zones.iter().enumerate().map(listing).collect();
-    let rules = Rules { engine: Some(unit::Tokens(400_000)), copies: true, multiple: 0.0, slack: 3.0, cold: None };
+    let rules = Rules { engine: Some(unit::Tokens(400_000)), copies: true, load_multiple: 0.0, load_slack: 3.0, cold: None };
     let mut pool = Pool::new(rules);
     pool.set_members(at(0), &members);
     let ids: Vec<_> = members.into_iter().map(|listing| listing.id).collect();
     for (holder, prompt) in (0..holders).flat_map(|holder| (1..=20).map(move |prompt| (holder, prompt))) {
-        pool.learn_read(&ids[holder], &request(u128::from(prompt), prompt).parts);
+        pool.record_prefill(&ids[holder], &request(u128::from(prompt), prompt).parts);
     }
     (pool, ids)
 }
@@ -73,7 +73,7 @@
     request.avoid = ids[..ids.len() - 1].to_vec();
     let from = source(&pool.ask(at(now), request));
     if let Some(took) = took_ms {
-        pool.begun(at(now + took), id::Attempt(number), Duration::from_millis(took));
+        pool.record_first_event(at(now + took), id::Attempt(number), Duration::from_millis(took));
         pool.release(at(now + took), id::Attempt(number), Outcome::Served, None);
     }
     from
@@ -114,7 +114,7 @@
         sources.push(from.clone());
         if from.as_ref().is_some_and(|from| from != &ids[0]) {
             let number = 100_000 + u128::from(1_000 + 20 * step) * 100 + u128::from(step + 1);
-            pool.begun(at(1_000 + 20 * step + 10), id::Attempt(number), Duration::from_millis(900));
+            pool.record_first_event(at(1_000 + 20 * step + 10), id::Attempt(number), Duration::from_millis(900));
             pool.release(at(1_000 + 20 * step + 10), id::Attempt(number), Outcome::Served, None);
         }
     }
@@ -140,11 +140,11 @@
         let (mut pool, ids) = pool(&zones, 1);
         copy(&mut pool, &ids, 100, 1, Some(2_000));
         copy(&mut pool, &ids, 2_200, 2, Some(2_000));
-        let before = pool.looks();
+        let before = pool.scanned_members();
         for number in 0..20 {
             pool.ask(at(4_300), request(number, 3 + u64::try_from(number).unwrap()));
         }
-        pool.looks() - before
+        pool.scanned_members() - before
     });
     assert!(scans[1] <= scans[0] * 5 / 4, "{scans:?} members scanned");
 }
--- a/crates/stairvale-dispatch/tests/pool.rs
+++ b/crates/stairvale-dispatch/tests/pool.rs
@@ -7,7 +7,7 @@
 use quickcheck::quickcheck;
 use stairvale_dispatch::{
     Answer, Ask, Held, Listing, Outcome, Part, Pool, Verdict,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_types::{Moment, id, outcome::Reason, unit};
 
@@ -16,7 +16,7 @@
 }
 
 fn engines() -> Rules {
-    Rules { engine: Some(unit::Tokens(100_000)), copies: true, multiple: 2.0, slack: 3.0, cold: None }
+    Rules { engine: Some(unit::Tokens(100_000)), copies: true, load_multiple: 2.0, load_slack: 3.0, cold: None }
 }
 
 fn pool(rules: Rules, count: usize, slots: u32) -> Pool {
@@ -88,7 +88,7 @@
 fn prefix_on_full_engine() -> (Pool, id::Upstream) {
     let mut pool = pool(engines(), 2, 1);
     let first = granted_upstream(&pool.ask(at(0), request(1, &[(7, 2_000), (8, 6_000), (100, 500)]))).unwrap();
-    pool.begun(at(1), id::Attempt(1), Duration::from_millis(1));
+    pool.record_first_event(at(1), id::Attempt(1), Duration::from_millis(1));
     (pool, first)
 }
 
@@ -111,7 +111,7 @@
             request.avoid.push(ids[other].clone());
             assert!(granted_upstream(&pool.ask(at(now), request)).is_some());
             let took = Duration::from_millis(55) + Duration::from_micros(10) * tokens;
-            pool.begun(at(now + 80), id::Attempt(number), took);
+            pool.record_first_event(at(now + 80), id::Attempt(number), took);
             pool.release(at(now + 90), id::Attempt(number), Outcome::Served, None);
         }
     }
@@ -176,14 +176,14 @@
         request.avoid = ids[..2].to_vec();
         request
     };
-    pool.set_dark(["far".parse().unwrap()].into());
+    pool.set_unresponsive_zones(["far".parse().unwrap()].into());
     let answers = pool.ask(at(300), near(3));
     assert_eq!(
         (granted_upstream(&answers), source(&answers)),
         (Some(ids[2].clone()), Some(ids[0].clone())),
         "an upstream of the zone answered recently"
     );
-    pool.forget(at(310), id::Attempt(3));
+    pool.cancel(at(310), id::Attempt(3));
     let mut other = request(4, &[(7, 8_000), (104, 500)]);
     assert_eq!(
         granted_upstream(&pool.ask(at(1_000), other.clone())),
@@ -191,7 +191,7 @@
         "nothing is sent to the partitioned zone"
     );
     // Once the routers of the zone are back, the first engine gets requests as before.
-    pool.set_dark([].into());
+    pool.set_unresponsive_zones([].into());
     other.attempt = id::Attempt(5);
     other.avoid = vec![ids[2].clone()];
     assert_eq!(granted_upstream(&pool.ask(at(1_100), other)), Some(ids[0].clone()));
@@ -200,12 +200,12 @@
 #[test]
 fn a_zone_without_routers_stays_in_use_while_its_engines_answer() {
     let (mut pool, ids) = two_zones();
-    pool.set_dark(["far".parse().unwrap()].into());
+    pool.set_unresponsive_zones(["far".parse().unwrap()].into());
     for number in 3..30 {
         let now = 100 * u64::try_from(number).unwrap();
         let again = request(number, &[(7, 8_000), (100 + u64::try_from(number).unwrap(), 500)]);
         assert_eq!(granted_upstream(&pool.ask(at(now), again)), Some(ids[0].clone()));
-        pool.begun(at(now + 60), id::Attempt(number), Duration::from_millis(60));
+        pool.record_first_event(at(now + 60), id::Attempt(number), Duration::from_millis(60));
         pool.release(at(now + 90), id::Attempt(number), Outcome::Served, None);
     }
 }
@@ -216,7 +216,7 @@
     let mut members = listings(1, 8);
     members[0].zone = "far".parse().unwrap();
     pool.set_members(at(0), &members);
-    pool.set_dark(["far".parse().unwrap()].into());
+    pool.set_unresponsive_zones(["far".parse().unwrap()].into());
     // The upstream counts as reachable until a request has failed to reach it.
     assert!(granted_upstream(&pool.ask(at(10), request(1, &[]))).is_some());
     pool.release(at(130), id::Attempt(1), Outcome::Unreachable, None);
@@ -256,7 +256,7 @@
     assert_eq!(pool.waiting(), 3);
     // A prompt with another prefix has no prefill to wait for.
     assert!(granted_upstream(&pool.ask(at(6), request(20, &[(9, 8_000), (120, 100)]))).is_some());
-    let answers = pool.begun(at(200), id::Attempt(1), Duration::from_millis(200));
+    let answers = pool.record_first_event(at(200), id::Attempt(1), Duration::from_millis(200));
     assert_eq!(answers.len(), 3);
     for answer in answers {
         let Verdict::Granted { read, .. } = answer.verdict else { panic!("there is room") };
@@ -301,9 +301,9 @@
     let mut pool = pool(engines(), 4, 16);
     assert!(granted_upstream(&pool.ask(at(0), long_request(1))).is_some());
     assert!(pool.ask(at(5), long_request(2)).is_empty());
-    assert!(pool.forget(at(10), id::Attempt(2)).is_empty());
+    assert!(pool.cancel(at(10), id::Attempt(2)).is_empty());
     assert_eq!(pool.waiting(), 0);
-    assert!(pool.begun(at(200), id::Attempt(1), Duration::from_millis(200)).is_empty());
+    assert!(pool.record_first_event(at(200), id::Attempt(1), Duration::from_millis(200)).is_empty());
 }
 
 #[test]
@@ -468,7 +468,7 @@
         let key = u64::try_from(number).unwrap();
         let upstream =
             granted_upstream(&pool.ask(at(key * 10), request(number, &[(key, 3_000), (1_000 + key, 20)]))).unwrap();
-        pool.begun(at(key * 10 + 1), id::Attempt(number), Duration::from_millis(1));
+        pool.record_first_event(at(key * 10 + 1), id::Attempt(number), Duration::from_millis(1));
         pool.release(at(key * 10 + 2), id::Attempt(number), Outcome::Served, None);
         upstreams.insert(upstream);
     }
@@ -501,7 +501,7 @@
                 request.zone = ["a", "b"][usize::from(*time % 2)].parse().unwrap();
                 pool.ask(at(now), request)
             }
-            4 => pool.begun(at(now), earlier, Duration::from_millis(u64::from(*time))),
+            4 => pool.record_first_event(at(now), earlier, Duration::from_millis(u64::from(*time))),
             5 => pool.release(at(now), earlier, Outcome::Served, None),
             6 => {
                 let outcomes = [Outcome::Failed, Outcome::Silent, Outcome::Shed, Outcome::Abandoned];
@@ -523,8 +523,8 @@
 quickcheck! {
     /// A scan of only those engines that hold the prefix of a prompt gives the same decisions as a full scan.
     fn a_partial_scan_decides_like_a_full_scan(engines: u8, steps: Vec<(u8, u8, u8)>) -> bool {
-        let rules = Rules { cold: Some(Cold { pace: 10.0, bound: 20.0, time: Duration::from_millis(50) }), ..self::engines() };
-        let (mut partial, mut full) = (Pool::new(rules), Pool::new(rules).with_whole_look());
+        let rules = Rules { cold: Some(ColdLimits { pace: 10.0, bound: 20.0, time: Duration::from_millis(50) }), ..self::engines() };
+        let (mut partial, mut full) = (Pool::new(rules), Pool::new(rules).with_full_scan());
         replay(&mut partial, engines, &steps) == replay(&mut full, engines, &steps)
     }
 }
@@ -547,13 +547,13 @@
             if let Some(upstream) = granted_upstream(&pool.ask(now, request)) {
                 running.push(attempt);
                 // Without a first event the next requests would wait for its prefill of the shared prefix.
-                pool.begun(now, attempt, Duration::from_millis(50));
+                pool.record_first_event(now, attempt, Duration::from_millis(50));
                 let held = f64::from(pool.running(&upstream) - 1);
                 if held > 2.0 * f64::from(before) / 5.0 + 3.0 {
                     return false;
                 }
             } else {
-                pool.forget(now, attempt);
+                pool.cancel(now, attempt);
             }
         }
         true
@@ -576,7 +576,7 @@
                     let parts = [(u64::from(key % 3), 6_000), (number as u64 + 1_000, 100)];
                     pool.ask(now, Ask { attempt, ..request(0, &parts) })
                 }
-                (3, Some(index)) => pool.begun(now, granted[index], Duration::from_millis(100)),
+                (3, Some(index)) => pool.record_first_event(now, granted[index], Duration::from_millis(100)),
                 (_, Some(index)) => pool.release(now, granted.swap_remove(index), Outcome::Failed, None),
             };
             let answers: Vec<_> = answers.into_iter().chain(pool.tick(now)).collect();
@@ -613,7 +613,7 @@
                 },
                 _ => {
                     forgotten.insert(attempt);
-                    pool.forget(now, attempt)
+                    pool.cancel(now, attempt)
                 }
             };
             for answer in answers {
--- a/crates/stairvale-dispatch/tests/quarantine.rs
+++ b/crates/stairvale-dispatch/tests/quarantine.rs
@@ -14,7 +14,7 @@
 const SECOND: id::Fingerprint = id::Fingerprint(2);
 
 fn pool() -> Pool {
-    let mut pool = Pool::new(Rules { multiple: 2.0, slack: 3.0, ..Rules::default() });
+    let mut pool = Pool::new(Rules { load_multiple: 2.0, load_slack: 3.0, ..Rules::default() });
     pool.set_members(at(0), &listings(4, 6));
     pool
 }
@@ -79,7 +79,7 @@
     assert_eq!(refusal.reason, Reason::Busy);
     assert!(refusal.retry_after <= Duration::from_millis(200));
     pool.tick(at(200));
-    assert_eq!(pool.take_found(), [FIRST]);
+    assert_eq!(pool.take_crash_causes(), [FIRST]);
 }
 
 #[test]
--- a/crates/stairvale-dispatch/tests/rollout.rs
+++ b/crates/stairvale-dispatch/tests/rollout.rs
@@ -14,7 +14,7 @@
 };
 use stairvale_dispatch::{
     Ask, Outcome, Part, Pool, Verdict,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_rollout::{Cause, Policy, Reservation, Stage};
 use stairvale_types::{Moment, id};
@@ -255,7 +255,7 @@
                 *given.entry(upstream.clone()).or_default() += 1;
                 last_trial_us = if is_new(&upstream) { now - start } else { last_trial_us };
             }
-            pool.begun(Moment(now), answer.attempt, Duration::from_millis(60));
+            pool.record_first_event(Moment(now), answer.attempt, Duration::from_millis(60));
             ends.push_back((now + service_us, answer.attempt));
             assert_eq!(answer.attempt, attempt, "there is room at once");
         }
@@ -308,7 +308,7 @@
 /// serve nearly all requests.
 #[test]
 fn as_many_chosen_upstreams_as_old_ones_get_the_full_load() {
-    let mut pool = pool(Rules { multiple: 2.0, slack: 3.0, ..Rules::default() }, 3, 3, 6);
+    let mut pool = pool(Rules { load_multiple: 2.0, load_slack: 3.0, ..Rules::default() }, 3, 3, 6);
     pool.set_policy(at(1), policy(Stage::Trial));
     let (given, last_trial_us) = run_load(&mut pool, 116, 50_000, 60, 3);
     let (old, new, chosen) = means(&given, 3);
@@ -338,12 +338,12 @@
     pool.set_policy(at(1), policy(Stage::Trial));
     let prompt = |number: u64| [(7, 2_000), (8, 6_000), (100 + number, 100)];
     let old = granted_upstream(&pool.ask(at(10), request(1, 0, &prompt(1)))).unwrap();
-    pool.begun(at(20), id::Attempt(1), Duration::from_millis(10));
+    pool.record_first_event(at(20), id::Attempt(1), Duration::from_millis(10));
     pool.reserve(reservation(1, 60_000, 1));
     let mut tried = None;
     for number in 2..20 {
         let answers = pool.ask(at(30), request(number, 0, &prompt(u64::try_from(number).unwrap())));
-        pool.begun(at(30), id::Attempt(number), Duration::from_millis(10));
+        pool.record_first_event(at(30), id::Attempt(number), Duration::from_millis(10));
         if is_new(&granted_upstream(&answers).unwrap()) {
             assert_eq!(source(&answers), Some(old.clone()));
             tried = granted_upstream(&answers);
@@ -383,7 +383,7 @@
         number += 1;
         let own = u64::try_from(number).unwrap();
         let answers = pool.ask(at(10), request(number, 0, &[(9_000 + own, 8_000), (own, 100)]));
-        pool.begun(
+        pool.record_first_event(
             at(10),
             id::Attempt(if is_new(&granted_upstream(&answers).unwrap()) { 0 } else { number }),
             Duration::ZERO,
@@ -418,7 +418,7 @@
     first.avoid = vec!["o1".parse().unwrap(), "o2".parse().unwrap()];
     assert_eq!(granted_upstream(&pool.ask(at(10), first)), Some("o0".parse().unwrap()));
     pool.release(at(20), id::Attempt(1), Outcome::Silent, None);
-    pool.set_dark([zone.clone()].into());
+    pool.set_unresponsive_zones([zone.clone()].into());
     pool.reserve(reservation(100, 60_000, 3));
     for number in 100..400 {
         let upstream = granted_upstream(&pool.ask(at(1_000), request(number, 0, &[]))).unwrap();
@@ -464,8 +464,8 @@
 
 #[test]
 fn cold_new_engines_are_not_overloaded_while_the_fleet_moves() {
-    let cold = Cold { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
-    let mut pool = Pool::new(Rules { cold: Some(cold), multiple: 0.0, ..engines() });
+    let cold = ColdLimits { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
+    let mut pool = Pool::new(Rules { cold: Some(cold), load_multiple: 0.0, ..engines() });
     let mut members = listings(2, 1, 64);
     members[2].cold = Duration::from_secs(3);
     pool.set_members(at(0), &members);
@@ -479,8 +479,8 @@
 
 #[test]
 fn an_engine_that_may_turn_cold_unnoticed_is_not_overloaded_while_the_fleet_moves() {
-    let cold = Cold { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
-    let mut pool = Pool::new(Rules { cold: Some(cold), multiple: 0.0, ..engines() });
+    let cold = ColdLimits { pace: 9.6, bound: 19.4, time: Duration::from_secs(3) };
+    let mut pool = Pool::new(Rules { cold: Some(cold), load_multiple: 0.0, ..engines() });
     pool.set_members(at(0), &listings(2, 1, 64));
     pool.set_policy(at(1), policy(Stage::Moving));
     let upstreams = (0..40_u64).map(|number| {
@@ -505,7 +505,7 @@
             let Verdict::Granted { upstream, source, .. } = answer.verdict else { panic!("refused") };
             assert_eq!(is_new(&upstream), number >= 200, "request {number} at {upstream}");
             copied += u32::from(number >= 200 && source.is_some_and(|source| !is_new(&source)));
-            pool.begun(now, answer.attempt, Duration::from_millis(50));
+            pool.record_first_event(now, answer.attempt, Duration::from_millis(50));
             running.push_back((number, is_new(&upstream)));
         }
         // 20 requests run at once.
--- a/crates/stairvale-dispatch/tests/shares.rs
+++ b/crates/stairvale-dispatch/tests/shares.rs
@@ -434,7 +434,7 @@
             match kind % 6 {
                 0..=2 => drop(pool.ask(now, request(number as u128, u128::from(customer % 4)))),
                 3 => drop(pool.release(now, earlier, Outcome::Served, None)),
-                4 => drop(pool.forget(now, earlier)),
+                4 => drop(pool.cancel(now, earlier)),
                 _ => drop(pool.tick(now)),
             }
             let running: u32 = pool.members().map(stairvale_dispatch::Member::running).sum();
--- a/crates/stairvale-dispatch/tests/suspects.rs
+++ b/crates/stairvale-dispatch/tests/suspects.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use stairvale_dispatch::{
     Suspects,
-    suspects::{Evidence, LEAST, MOST},
+    suspects::{Evidence, MIN_CRASHES, MAX_CRASHES},
 };
 use stairvale_types::{Moment, id};
 
@@ -72,7 +72,7 @@
     for number in 0..30 {
         suspects.learn(at(60_000 + number), &termination(CAUSE, 0, 400));
     }
-    assert_eq!(suspects.ends(CAUSE), 1);
+    assert_eq!(suspects.crash_count(CAUSE), 1);
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut suspects = observed();
     suspects.learn(at(60_000), &termination(BYSTANDER, 0, 400));
     assert_eq!(terminate_under(&mut suspects, &[CAUSE], 0, 3), [0, 0, 1]);
-    assert_eq!(suspects.ends(BYSTANDER), 0);
+    assert_eq!(suspects.crash_count(BYSTANDER), 0);
 }
 
 #[test]
@@ -97,9 +97,9 @@
     let mut suspects = observed();
     suspects.learn(at(60_000), &termination(CAUSE, 0, 400));
     suspects.answered(at(60_100), &upstream(0), at(59_000));
-    assert_eq!(suspects.ends(CAUSE), 1, "it may have been served before the termination and reported late");
+    assert_eq!(suspects.crash_count(CAUSE), 1, "it may have been served before the termination and reported late");
     suspects.answered(at(61_000), &upstream(0), at(59_000));
-    assert_eq!(suspects.ends(CAUSE), 0);
+    assert_eq!(suspects.crash_count(CAUSE), 0);
 }
 
 #[test]
@@ -117,7 +117,7 @@
         suspects.learn(at(63_000), &termination(id::Fingerprint(1_000 + number), 10 + number / 60, 400));
     }
     assert!(suspects.len() <= 4_096);
-    assert_eq!(suspects.ends(CAUSE), 2);
+    assert_eq!(suspects.crash_count(CAUSE), 2);
 }
 
 #[test]
@@ -275,8 +275,8 @@
         ends[ends.len() / 2],
         ends[ends.len() - 1]
     );
-    assert!(ends[0] >= LEAST);
-    assert!(ends[ends.len() - 1] <= MOST, "{ends:?}");
+    assert!(ends[0] >= MIN_CRASHES);
+    assert!(ends[ends.len() - 1] <= MAX_CRASHES, "{ends:?}");
 }
 
 quickcheck! {
--- a/crates/stairvale-dispatch/tests/transit.rs
+++ b/crates/stairvale-dispatch/tests/transit.rs
@@ -66,7 +66,7 @@
         pool.release(at(200_010), id::Attempt(number), Outcome::Shed, None);
     }
     for number in 1_000..1_100 {
-        pool.forget(at(200_011), id::Attempt(number));
+        pool.cancel(at(200_011), id::Attempt(number));
     }
     assert_eq!(pool.waiting(), 0);
     // The upstream gets no requests for a moment after it reported that it is full.
--- a/crates/stairvale-dispatch/tests/watch.rs
+++ b/crates/stairvale-dispatch/tests/watch.rs
@@ -28,7 +28,7 @@
         let parts: &[(u64, u32)] = if rules.engine.is_some() { &[(1_000 + number, 300)] } else { &[] };
         let attempt = id::Attempt(10_000 + u128::from(number));
         pool.ask(at(number * 100), request(attempt.0, 0, parts));
-        pool.begun(at(number * 100 + 40), attempt, Duration::from_millis(40));
+        pool.record_first_event(at(number * 100 + 40), attempt, Duration::from_millis(40));
         let took = rules.engine.is_none().then(|| Duration::from_millis(50));
         pool.release(at(number * 100 + 90), attempt, Outcome::Served, took);
     }
@@ -77,7 +77,7 @@
     for (took, slow) in [(40, false), (120, false), (400, true)] {
         let mut pool = trained_pool(engines());
         pool.ask(at(10_010), request(1, 0, &[(1, 300)]));
-        pool.begun(at(10_010 + took), id::Attempt(1), Duration::from_millis(took));
+        pool.record_first_event(at(10_010 + took), id::Attempt(1), Duration::from_millis(took));
         let before = take_answers(&mut pool).remove(&false).unwrap_or_default();
         assert_eq!(before, if slow { vec![Answer::Slow] } else { vec![] }, "{took} ms");
         // However the request ends, it is reported once.
@@ -92,7 +92,7 @@
     for (took, answer) in [(60, Answer::Good), (800, Answer::Slow)] {
         let mut pool = trained_pool(engines());
         pool.ask(at(10_010), request(1, 0, &[(1, 300)]));
-        pool.begun(at(10_050), id::Attempt(1), Duration::from_millis(40));
+        pool.record_first_event(at(10_050), id::Attempt(1), Duration::from_millis(40));
         pool.release(at(10_050 + took), id::Attempt(1), Outcome::Served, None);
         assert_eq!(take_answers(&mut pool)[&false], [answer], "{took} ms");
     }
@@ -142,7 +142,7 @@
     pool.renew(at(11_000), &"r1".parse().unwrap(), &[held]);
     pool.tick(at(11_010));
     assert_eq!(take_answers(&mut pool)[&false], [Answer::Slow]);
-    pool.begun(at(11_100), id::Attempt(1), Duration::from_millis(1_090));
+    pool.record_first_event(at(11_100), id::Attempt(1), Duration::from_millis(1_090));
     pool.release(at(11_200), id::Attempt(1), Outcome::Failed, None);
     assert!(take_answers(&mut pool).is_empty());
 }
@@ -159,7 +159,7 @@
         route: id::Route(0),
         fingerprint: id::Fingerprint::default(),
     }];
-    pool.begun(at(10_110), id::Attempt(1), Duration::from_millis(100));
+    pool.record_first_event(at(10_110), id::Attempt(1), Duration::from_millis(100));
     // The rest of the stream may take three times the usual 50 ms, and 60 ms more.
     for (now, slow) in [(10_300, false), (10_400, true)] {
         pool.renew(at(now), &"r1".parse().unwrap(), &held);
@@ -197,12 +197,12 @@
     let mut pool = pool(engines(), 2, 1, 16);
     let prompt = |number: u64| [(7, 2_000), (8, 6_000), (100 + number, 100)];
     let old = granted_upstream(&pool.ask(at(10), request(1, 0, &prompt(1)))).unwrap();
-    pool.begun(at(20), id::Attempt(1), Duration::from_millis(10));
+    pool.record_first_event(at(20), id::Attempt(1), Duration::from_millis(10));
     pool.set_policy(at(30), policy(Stage::Moving));
     let answers = pool.ask(at(40), request(2, 0, &prompt(2)));
     assert_eq!((granted_upstream(&answers), source(&answers)), (Some("n0".parse().unwrap()), Some(old)));
     pool.release(at(50), id::Attempt(1), Outcome::Silent, None);
-    pool.begun(at(2_000), id::Attempt(2), Duration::from_millis(1_960));
+    pool.record_first_event(at(2_000), id::Attempt(2), Duration::from_millis(1_960));
     let answers = take_answers(&mut pool);
     assert_eq!(answers.get(&true), None, "{answers:?}");
 }
@@ -221,7 +221,7 @@
             let new = is_new(&granted_upstream(&pool.ask(at(now), request(attempt.0, 0, parts))).unwrap());
             let (first, rest) = if new { (first, rest) } else { (first.min(40), 50) };
             if rules.engine.is_some() {
-                pool.begun(at(now + first), attempt, Duration::from_millis(first));
+                pool.record_first_event(at(now + first), attempt, Duration::from_millis(first));
             }
             let took = rules.engine.is_none().then(|| Duration::from_millis(rest));
             pool.release(at(now + first + rest), attempt, Outcome::Served, took);
--- a/crates/stairvale-serve/src/core/entry.rs
+++ b/crates/stairvale-serve/src/core/entry.rs
@@ -70,7 +70,7 @@
         if home != &self.me {
             return self.send(home, Frame::Forget { service: service.clone(), attempt });
         }
-        let answers = self.pools.get_mut(service).map(|pool| pool.forget(now, attempt));
+        let answers = self.pools.get_mut(service).map(|pool| pool.cancel(now, attempt));
         self.deliver_answers(answers.unwrap_or_default())
     }
 
--- a/crates/stairvale-serve/src/core/home.rs
+++ b/crates/stairvale-serve/src/core/home.rs
@@ -117,7 +117,7 @@
         }
         let resting = self.resting(now, service);
         let pool = self.pools.get_mut(service);
-        let unknown = pool.map(|pool| pool.unknown(|engine| !resting.contains(engine))).unwrap_or_default();
+        let unknown = pool.map(|pool| pool.take_unknown_caches(|engine| !resting.contains(engine))).unwrap_or_default();
         let inspections = unknown.into_iter().filter_map(|upstream| {
             let address = self.address(&upstream)?;
             Some(Effect::Inspect { service: service.clone(), upstream, address })
@@ -132,7 +132,7 @@
         attempt: id::Attempt,
         took: Duration,
     ) -> Vec<Effect> {
-        let answers = self.pools.get_mut(service).map(|pool| pool.begun(now, attempt, took));
+        let answers = self.pools.get_mut(service).map(|pool| pool.record_first_event(now, attempt, took));
         self.deliver_answers(answers.unwrap_or_default())
     }
 
--- a/crates/stairvale-serve/src/core/knowledge.rs
+++ b/crates/stairvale-serve/src/core/knowledge.rs
@@ -8,7 +8,7 @@
 
 use stairvale_dispatch::{
     Listing, Pool,
-    pool::{Cold, Rules},
+    pool::{ColdLimits, Rules},
 };
 use stairvale_membership::swim;
 use stairvale_replica::{State, Subject, Upstream};
@@ -95,10 +95,10 @@
             let rules = Rules {
                 engine: memory,
                 copies: service.engine.is_some_and(|engine| engine.copies),
-                multiple: self.bounds.load_multiple,
-                slack: self.bounds.load_slack,
+                load_multiple: self.bounds.load_multiple,
+                load_slack: self.bounds.load_slack,
                 // A service with a cold time of zero needs no protection of cold upstreams.
-                cold: service.cold.filter(|cold| !cold.time.is_zero()).map(|cold| Cold {
+                cold: service.cold.filter(|cold| !cold.time.is_zero()).map(|cold| ColdLimits {
                     pace: cold.pace,
                     bound: self.bounds.cold(cold.pace),
                     time: cold.time,
@@ -109,13 +109,13 @@
                 let mut pool = Pool::new(rules);
                 // A new pool doesn't know what this router granted before a restart, or what was granted while it
                 // wasn't the home, so it starts without a share.
-                pool.set_share(now, 0.0);
+                pool.set_cold_share(now, 0.0);
                 pool
             });
             pool.set_rules(rules);
-            pool.set_dark(self.unreachable_zones.clone());
+            pool.set_unresponsive_zones(self.unreachable_zones.clone());
             for zone in &restored {
-                pool.take_back(now, zone);
+                pool.presume_zone_cold(now, zone);
             }
             let mut answers = pool.set_policy(now, policy);
             if let Some(listings) = unlisted.remove(&service.name) {
@@ -194,7 +194,7 @@
         let knows_fleet = self.knows_fleet(now);
         for (service, pool) in &mut self.pools {
             let is_home = knows_fleet && self.roles.home(service.hash64()) == Some(&self.me);
-            pool.set_share(now, if is_home { self.roles.responding_share } else { 0.0 });
+            pool.set_cold_share(now, if is_home { self.roles.responding_share } else { 0.0 });
         }
     }
 
@@ -231,7 +231,7 @@
         if self.roles.unreachable_zones != self.unreachable_zones {
             self.unreachable_zones = self.roles.unreachable_zones.clone();
             for pool in self.pools.values_mut() {
-                pool.set_dark(self.unreachable_zones.clone());
+                pool.set_unresponsive_zones(self.unreachable_zones.clone());
             }
             out.extend(self.grant_waiting(now));
         }
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use stairvale_dispatch::{Held, Pool, Seen, Window};
+use stairvale_dispatch::{Held, Pool, SentPrefixes, RetryWindow};
 use stairvale_membership::{Swim, swim};
 use stairvale_replica::{News, Upstream, View};
 use stairvale_table::Table;
@@ -81,10 +81,10 @@
     view: View,
     table: Arc<Table>,
     pools: BTreeMap<id::Service, Pool>,
-    windows: HashMap<id::Service, Window>,
+    windows: HashMap<id::Service, RetryWindow>,
     running: HashMap<id::Attempt, RunningRequest>,
     distrusted: HashMap<id::Router, Moment>,
-    recent_prefixes: Seen,
+    recent_prefixes: SentPrefixes,
     /// For each service, the home that last received the list of requests running here.
     notified_homes: HashMap<id::Service, id::Router>,
     /// For each service that this router is home of, the routers that receive copies of its upstreams' cached
@@ -155,7 +155,7 @@
             windows: HashMap::new(),
             running: HashMap::new(),
             distrusted: HashMap::new(),
-            recent_prefixes: Seen::default(),
+            recent_prefixes: SentPrefixes::default(),
             notified_homes: HashMap::new(),
             successors: HashMap::new(),
             pending_syncs: HashMap::new(),
@@ -350,7 +350,7 @@
                 vec![Effect::Reply { attempt, reply: Reply::Waits }]
             }
             Frame::Forget { service, attempt } => {
-                let answers = self.pools.get_mut(&service).map(|pool| pool.forget(now, attempt));
+                let answers = self.pools.get_mut(&service).map(|pool| pool.cancel(now, attempt));
                 self.deliver_answers(answers.unwrap_or_default())
             }
             Frame::Begun { service, attempt, took } => self.handle_begun(now, &service, attempt, took),
@@ -367,7 +367,7 @@
             }
             Frame::Read { service, upstream, parts } => {
                 if let Some(pool) = self.pools.get_mut(&service) {
-                    pool.learn_read(&upstream, &parts);
+                    pool.record_prefill(&upstream, &parts);
                 }
                 Vec::new()
             }
--- a/crates/stairvale-serve/src/core/quarantine.rs
+++ b/crates/stairvale-serve/src/core/quarantine.rs
@@ -88,7 +88,7 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return Vec::new();
         };
-        let (evidence, found) = (pool.take_evidence(), pool.take_found());
+        let (evidence, found) = (pool.take_evidence(), pool.take_crash_causes());
         if evidence.is_empty() && found.is_empty() {
             return Vec::new();
         }
--- a/crates/stairvale-serve/src/permit.rs
+++ b/crates/stairvale-serve/src/permit.rs
@@ -136,7 +136,7 @@
         let attempt = id::Attempt(uuid::Uuid::new_v4().as_u128());
         let mut ask = Ask { attempt, ..want.ask.clone() };
         ask.avoid.extend(resting);
-        let wait = ask.patience.max(ask.follows());
+        let wait = ask.patience.max(ask.max_prefill_wait());
         let mut replies = shared.expect(attempt);
         let me = shared.settings.router.clone();
         let mut home = me.clone();
