--- a/crates/stairvale-dispatch/src/member.rs
+++ b/crates/stairvale-dispatch/src/member.rs
@@ -167,7 +167,7 @@
     #[must_use]
     pub fn serves(&self) -> bool {
         match self.admission {
-            Admission::Any | Admission::Last => true,
+            Admission::Any | Admission::LastResort => true,
             Admission::Trial | Admission::Nothing => false,
         }
     }
--- a/crates/stairvale-dispatch/src/pool/allowance.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance.rs
@@ -41,9 +41,9 @@
     const RELAXED: Self = Self { admission: Admission::Any, limits: Limits::Relaxed };
     /// Members of the version that the fleet moves away from, with the strict limits: they are used before the limits
     /// of the others are relaxed.
-    const LEAVING: Self = Self { admission: Admission::Last, limits: Limits::Strict };
+    const LEAVING: Self = Self { admission: Admission::LastResort, limits: Limits::Strict };
     /// Members of the version that the fleet moves away from, with the relaxed limits.
-    const LEAVING_RELAXED: Self = Self { admission: Admission::Last, limits: Limits::Relaxed };
+    const LEAVING_RELAXED: Self = Self { admission: Admission::LastResort, limits: Limits::Relaxed };
     /// The classes that a decision considers in turn.
     const STEADY: [Self; 2] = [Self::FIRST, Self::RELAXED];
     /// The classes that a decision considers in turn while the fleet moves to another version.
@@ -90,7 +90,7 @@
         }
         let open = member.health.is_open(decision.now);
         let able = match tier.admission {
-            Admission::Any | Admission::Last => (decision.none_healthy || open) && decision.may_serve(member),
+            Admission::Any | Admission::LastResort => (decision.none_healthy || open) && decision.may_serve(member),
             // Healthy members were selected for the trial, if there are any.
             Admission::Trial => decision.reach.is_near(member) && decision.permits(member),
             Admission::Nothing => false,
--- a/crates/stairvale-dispatch/src/pool/allowance/versions.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/versions.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use stairvale_rollout::{Admission, Facts, Policy, Reservation, Stage};
+use stairvale_rollout::{Admission, FleetStatus, Policy, Reservation, Stage};
 use stairvale_types::{Moment, id};
 
 use crate::{Answer, Ask, Member, Pool};
@@ -199,8 +199,8 @@
 
     /// Returns the state of the upstreams that the roll-out controller decides by.
     #[must_use]
-    pub fn facts(&self, now: Moment) -> Facts {
-        let mut facts = Facts::default();
+    pub fn facts(&self, now: Moment) -> FleetStatus {
+        let mut facts = FleetStatus::default();
         let mut serving_counts: BTreeMap<Option<&id::Version>, usize> = BTreeMap::new();
         let reach = self.reach(now);
         for member in self.members.values() {
@@ -256,7 +256,7 @@
         let any_open = self.members.values().any(|member| near(member) && member.health.is_open(now));
         let fits = |member: &Member| near(member) && (!any_open || member.health.is_open(now));
         active.selected.retain(|(id, _)| self.members.get(id).is_some_and(fits));
-        let missing = active.reserved.over.saturating_sub(active.selected.len());
+        let missing = active.reserved.upstreams.saturating_sub(active.selected.len());
         let mut others = Vec::new();
         if missing > 0 {
             let is_selected = |member: &Member| active.selected.iter().any(|(id, _)| *id == member.id);
--- a/crates/stairvale-dispatch/tests/fleet/mod.rs
+++ b/crates/stairvale-dispatch/tests/fleet/mod.rs
@@ -67,7 +67,7 @@
 }
 
 pub fn reservation(requests: u32, until: u64, over: usize) -> Reservation {
-    Reservation { requests, until: at(until), over, unrepeatable: false }
+    Reservation { requests, until: at(until), upstreams: over, unrepeatable: false }
 }
 
 pub fn granted_upstream(answers: &[Answer]) -> Option<id::Upstream> {
--- a/crates/stairvale-dispatch/tests/histories.rs
+++ b/crates/stairvale-dispatch/tests/histories.rs
@@ -13,7 +13,7 @@
     pool::{ColdLimits, Rules},
 };
 use stairvale_rollout::{
-    Admission::{Any, Last, Nothing, Trial},
+    Admission::{Any, LastResort, Nothing, Trial},
     Cause, Policy, Reservation, Stage,
 };
 use stairvale_types::id;
@@ -182,7 +182,7 @@
                 let Some(policy) = policy else { continue };
                 let admits = |id: &id::Upstream| policy.admits(version_of(id).as_ref());
                 let allowed = match admits(&upstream) {
-                    Any | Last => true,
+                    Any | LastResort => true,
                     Nothing => false,
                     Trial => {
                         let (is_repeatable, is_first_attempt) = repeatable[&answer.attempt];
--- a/crates/stairvale-rollout/src/lib.rs
+++ b/crates/stairvale-rollout/src/lib.rs
@@ -36,5 +36,5 @@
 pub use order::Order;
 pub use policy::{Admission, Policy};
 pub use record::{Cause, Counts, Record, Stage, Tally};
-pub use step::{Bounds, Event, Facts, Report, Reservation, Step, Write, Written};
-pub use steward::Steward;
+pub use step::{Bounds, Event, FleetStatus, Report, Reservation, Step, Write, Written};
+pub use steward::RolloutController;
--- a/crates/stairvale-rollout/src/policy.rs
+++ b/crates/stairvale-rollout/src/policy.rs
@@ -12,7 +12,7 @@
     /// Only requests that were reserved for it.
     Trial,
     /// Only requests that no other upstream has room for, since the fleet is leaving this version.
-    Last,
+    LastResort,
     /// No requests.
     Nothing,
 }
@@ -70,7 +70,7 @@
         match (self.stage, is_target) {
             (Stage::Trial, true) => Admission::Trial,
             (Stage::Trial | Stage::RolledBack(_), false) | (Stage::Moving | Stage::Completed, true) => Admission::Any,
-            (Stage::Moving, false) => Admission::Last,
+            (Stage::Moving, false) => Admission::LastResort,
             (Stage::Completed, false) | (Stage::RolledBack(_), true) => Admission::Nothing,
         }
     }
--- a/crates/stairvale-rollout/src/start.rs
+++ b/crates/stairvale-rollout/src/start.rs
@@ -4,7 +4,7 @@
 
 use stairvale_types::id;
 
-use crate::{Facts, Order, Record, Stage};
+use crate::{FleetStatus, Order, Record, Stage};
 
 /// Maximum number of rejected versions that are kept. The upstreams of earlier ones no longer exist.
 const MAX_REJECTED: usize = 8;
@@ -15,7 +15,7 @@
     order: (u64, &Order),
     elapsed: Duration,
     last: Option<&Record>,
-    fleet: &Facts,
+    fleet: &FleetStatus,
     share: f64,
 ) -> Record {
     let (revision, Order { target, over }) = order;
--- a/crates/stairvale-rollout/src/step.rs
+++ b/crates/stairvale-rollout/src/step.rs
@@ -23,7 +23,7 @@
 
 /// The state of a service's upstreams, as its home observes it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct FleetStatus {
     /// Number of upstreams of the ordered version that can take requests.
     pub ready_new: usize,
     /// Number of other upstreams that can take requests.
@@ -54,7 +54,7 @@
     pub until: Moment,
     /// Number of upstreams among which the requests are distributed. It is chosen so that each carries the load of an
     /// old upstream and faults that occur only under load show.
-    pub over: usize,
+    pub upstreams: usize,
     /// Whether requests that may run only once are included.
     pub unrepeatable: bool,
 }
@@ -91,9 +91,9 @@
     /// Let the pool give this to the version on trial, in place of what is left of the previous reservation.
     Reserve(Reservation),
     /// Let the pool follow this policy, which takes precedence over the router's copy of the store.
-    Follow(Policy),
+    SetPolicy(Policy),
     /// Report this to operators.
-    Say(Event),
+    Log(Event),
 }
 
 /// A roll-out has reached a stage, or its version was rejected: one log line, with the figures behind the decision.
@@ -108,7 +108,7 @@
     /// The stage that was reached.
     pub stage: Stage,
     /// Whether the stage is written to the store. A rejected version gets no requests even before that.
-    pub stands: bool,
+    pub is_committed: bool,
     /// The route that showed the fault, and the cause, if this router rejected the version itself.
     pub found: Option<(id::Route, Cause)>,
     /// Time since the order.
--- a/crates/stairvale-rollout/src/steward.rs
+++ b/crates/stairvale-rollout/src/steward.rs
@@ -8,7 +8,7 @@
 use stairvale_types::{Moment, Revision, id};
 
 use crate::{
-    Bounds, ExposureBudget, Facts, Judge, Order, Policy, Record, Report, Stage, Step, Write, Written,
+    Bounds, ExposureBudget, FleetStatus, Judge, Order, Policy, Record, Report, Stage, Step, Write, Written,
     clock::OrderClock,
     holding::ConditionTimer,
     outbox::{self, Outbox},
@@ -54,7 +54,7 @@
 /// The roll-out controller of one service. It carries the service's roll-outs on while its router is the service's
 /// home.
 #[derive(Debug)]
-pub struct Steward {
+pub struct RolloutController {
     me: id::Router,
     service: id::Service,
     bounds: Bounds,
@@ -93,7 +93,7 @@
     only_new_version: ConditionTimer,
 }
 
-impl Steward {
+impl RolloutController {
     /// Creates the controller of a service's roll-outs at a router.
     #[must_use]
     pub fn new(me: id::Router, service: id::Service, bounds: Bounds) -> Self {
@@ -131,7 +131,7 @@
 
     /// Updates the order and the record from this router's copy of the store, each with its revision. It is called at
     /// every router, so that a router that takes over as home also measures time from the order.
-    pub fn learn(&mut self, now: Moment, order: Option<(u64, &Order)>, record: Option<(u64, &Record)>) {
+    pub fn store_updated(&mut self, now: Moment, order: Option<(u64, &Order)>, record: Option<(u64, &Record)>) {
         self.has_cache_changed = true;
         if let Some((revision, record)) = record {
             self.cached_record = Some((revision, record.clone()));
@@ -167,7 +167,7 @@
     }
 
     /// Takes the result of a write.
-    pub fn written(&mut self, now: Moment, written: Written) {
+    pub fn write_finished(&mut self, now: Moment, written: Written) {
         if !self.outbox.is_write_in_flight() {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Drops all reservations, since this router is not the service's home.
-    pub fn rest(&mut self) {
+    pub fn step_down(&mut self) {
         self.pending_reservation = None;
         self.committed = None;
         self.issued = None;
@@ -227,12 +227,12 @@
 
     /// The revision of the last order whose version was rejected, by this router or by a peer that notified it.
     #[must_use]
-    pub fn condemns(&self) -> Option<u64> {
+    pub fn rejected_order(&self) -> Option<u64> {
         self.verdict.map(|(order, ..)| order)
     }
 
     /// Records that a peer has rejected the version of the order with this revision.
-    pub fn condemned(&mut self, order: u64) {
+    pub fn peer_rejected(&mut self, order: u64) {
         if self.verdict.is_none_or(|(known, ..)| known < order) {
             self.verdict = Some((order, Cause::Failing, None));
         }
@@ -242,7 +242,7 @@
     // Decisions
 
     /// Advances the roll-out at the service's home; it is called about 20 times a second.
-    pub fn tick(&mut self, now: Moment, fleet: &Facts) -> Vec<Step> {
+    pub fn tick(&mut self, now: Moment, fleet: &FleetStatus) -> Vec<Step> {
         let mut steps = Vec::new();
         self.old_version_idle.update(now, fleet.running_old == 0);
         self.only_new_version.update(now, fleet.ready_old == 0 && fleet.running_old == 0 && fleet.ready_new > 0);
@@ -312,7 +312,7 @@
     }
 
     /// The record to be written next, with the reservation that it contains.
-    fn next_record(&mut self, now: Moment, fleet: &Facts) -> Option<(Record, Option<Plan>)> {
+    fn next_record(&mut self, now: Moment, fleet: &FleetStatus) -> Option<(Record, Option<Plan>)> {
         let elapsed = self.clock.age(now);
         if let Some(order) = self.pending_order() {
             let last = self.record.as_ref().map(|(_, record)| record);
@@ -349,7 +349,7 @@
         }
     }
 
-    fn next_trial_record(&mut self, now: Moment, mut record: Record, fleet: &Facts) -> Option<(Record, Option<Plan>)> {
+    fn next_trial_record(&mut self, now: Moment, mut record: Record, fleet: &FleetStatus) -> Option<(Record, Option<Plan>)> {
         if record.granted == 0 && record.serving.is_none() && self.only_new_version.has_held_for(now, Duration::ZERO) {
             if !self.only_new_version.has_held_for(now, SOLE_VERSION_PERIOD) {
                 return None;
@@ -396,7 +396,7 @@
     }
 
     /// The stage that follows once the fleet has moved, or once the time for it has run out.
-    fn stage_after_moving(&self, now: Moment, record: &Record, fleet: &Facts) -> Option<Stage> {
+    fn stage_after_moving(&self, now: Moment, record: &Record, fleet: &FleetStatus) -> Option<Stage> {
         let has_propagated = self.moving_since.is_some_and(|since| now.since(since) >= PROPAGATION_DELAY);
         let latest_end =
             record.over.saturating_sub(FINAL_WRITE_MARGIN.min(record.over / 4)).max(record.elapsed + MIN_MOVING_TIME);
--- a/crates/stairvale-rollout/src/steward/tell.rs
+++ b/crates/stairvale-rollout/src/steward/tell.rs
@@ -2,10 +2,10 @@
 
 use stairvale_types::Moment;
 
-use super::Steward;
+use super::RolloutController;
 use crate::{Event, Policy, Reservation, Stage, Step, outbox, trial::Plan};
 
-impl Steward {
+impl RolloutController {
     /// Emits one event for each stage, at the router that wrote it, and one when the version is rejected.
     pub(super) fn log_transition(&mut self, now: Moment, steps: &mut Vec<Step>) {
         let Some((_, record)) = &self.record else { return };
@@ -23,12 +23,12 @@
         let unrecorded = self.outbox.unrecorded();
         let mut routes = record.routes.clone();
         outbox::add(&mut routes, &unrecorded.routes);
-        steps.push(Step::Say(Event {
+        steps.push(Step::Log(Event {
             service: self.service.clone(),
             order: record.order,
             target: record.target.clone(),
             stage,
-            stands: is_stored,
+            is_committed: is_stored,
             found,
             elapsed: self.clock.age(now),
             requests: record.requests + unrecorded.requests,
@@ -55,7 +55,7 @@
             || cached_policy.as_ref() != Some(&wanted) && (!is_sent || has_changed)
         {
             self.policy_override = Some(wanted.clone());
-            steps.push(Step::Follow(wanted));
+            steps.push(Step::SetPolicy(wanted));
         }
     }
 
@@ -72,13 +72,13 @@
             steps.push(Step::Reserve(Reservation {
                 requests,
                 until: reservation.until,
-                over: upstream_count,
+                upstreams: upstream_count,
                 unrepeatable,
             }));
         }
         if self.issued.is_some_and(|(order, until)| now < until && trial_order != Some(order)) {
             self.issued = None;
-            steps.push(Step::Reserve(Reservation { requests: 0, until: now, over: 1, unrepeatable: false }));
+            steps.push(Step::Reserve(Reservation { requests: 0, until: now, upstreams: 1, unrepeatable: false }));
         }
     }
 }
--- a/crates/stairvale-rollout/src/trial.rs
+++ b/crates/stairvale-rollout/src/trial.rs
@@ -4,7 +4,7 @@
 
 use stairvale_types::{Moment, id};
 
-use crate::{Bounds, ExposureBudget, Facts, record::Tally};
+use crate::{Bounds, ExposureBudget, FleetStatus, record::Tally};
 
 /// Fraction of the exposure bound that is used before the rehearsal. The rest is kept for the rehearsal and for
 /// requests that are in flight.
@@ -110,7 +110,7 @@
     /// Results of requests at both versions, by route.
     pub routes: &'a BTreeMap<id::Route, Tally>,
     /// The upstreams and running requests that the home observes.
-    pub fleet: &'a Facts,
+    pub fleet: &'a FleetStatus,
     /// Whether there is evidence against the version, even of a single upstream.
     pub is_suspected: bool,
     /// Whether there is evidence against the version even without its worst upstream.
@@ -202,7 +202,7 @@
     }
 
     /// Records that a reservation was sent to the store.
-    pub fn reservation_sent(&mut self, now: Moment, plan: Plan, fleet: &Facts) {
+    pub fn reservation_sent(&mut self, now: Moment, plan: Plan, fleet: &FleetStatus) {
         let min_interval = if plan.unrepeatable { MIN_RESERVATION_INTERVAL } else { MIN_REPEATABLE_INTERVAL };
         self.issue_time = self.issue_time_of(now, plan, fleet);
         self.next_reservation_at = Some(now + self.issue_time.clamp(min_interval, MAX_RESERVATION_INTERVAL));
@@ -319,7 +319,7 @@
     }
 
     /// How long the pool takes to use a reservation.
-    fn issue_time_of(&self, now: Moment, plan: Plan, fleet: &Facts) -> Duration {
+    fn issue_time_of(&self, now: Moment, plan: Plan, fleet: &FleetStatus) -> Duration {
         let rate = self.rate_per_old_upstream(now, fleet) * to_f64(plan.upstreams);
         Duration::from_secs_f64(ISSUE_TIME_FACTOR * f64::from(plan.requests) / rate.max(1.0))
     }
@@ -340,7 +340,7 @@
     }
 
     /// Request rate per upstream of the old version, per second.
-    fn rate_per_old_upstream(&self, now: Moment, fleet: &Facts) -> f64 {
+    fn rate_per_old_upstream(&self, now: Moment, fleet: &FleetStatus) -> f64 {
         self.rate(now) / to_f64(fleet.ready_old.max(1))
     }
 
--- a/crates/stairvale-rollout/tests/interleavings.rs
+++ b/crates/stairvale-rollout/tests/interleavings.rs
@@ -9,7 +9,7 @@
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use stairvale_rollout::{
-    Answer, Cause, Facts, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, Steward, Write, Written,
+    Answer, Cause, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, RolloutController, Write, Written,
 };
 use stairvale_types::{Moment, id};
 use world::{Store, TICK, bounds, order, upstream, version};
@@ -20,7 +20,7 @@
 /// A router: its controller, its copy of the store, and its pool, reduced to what it gives to the version on trial.
 struct Router {
     name: id::Router,
-    controller: Steward,
+    controller: RolloutController,
     /// The world's time at which the router's clock started.
     clock_started: Moment,
     is_home: bool,
@@ -40,7 +40,7 @@
     fn new(name: usize, now: Moment) -> Self {
         let name: id::Router = format!("r{name}").parse().unwrap();
         Self {
-            controller: Steward::new(name.clone(), "app".parse().unwrap(), bounds()),
+            controller: RolloutController::new(name.clone(), "app".parse().unwrap(), bounds()),
             name,
             clock_started: now,
             is_home: false,
@@ -149,7 +149,7 @@
             answer: if choice > 250 { Answer::Failed } else { Answer::Good },
         };
         let report = Report { requests, observations: (0..choice % 16).map(observation).collect() };
-        let fleet = Facts {
+        let fleet = FleetStatus {
             ready_new: usize::from(choice % 11),
             ready_old: 10,
             running_new: 0,
@@ -174,8 +174,8 @@
                         self.give_requests(index, 1_000);
                     }
                 }
-                Step::Follow(policy) => router.policy_override = Some(policy),
-                Step::Say(_) => {}
+                Step::SetPolicy(policy) => router.policy_override = Some(policy),
+                Step::Log(_) => {}
             }
         }
     }
@@ -254,7 +254,7 @@
         };
         let router = &mut self.routers[index];
         let local = router.local(self.now);
-        router.controller.written(local, written);
+        router.controller.write_finished(local, written);
     }
 
     fn update_copy(&mut self, index: usize) {
@@ -267,7 +267,7 @@
         let order = router.order.as_ref().map(|(revision, order)| (*revision, order));
         let record = router.record.as_ref().map(|(revision, record)| (*revision, record));
         let local = router.local(self.now);
-        router.controller.learn(local, order, record);
+        router.controller.store_updated(local, order, record);
     }
 
     /// Lets a pool give out some of the reserved requests.
@@ -304,7 +304,7 @@
         }
         router.is_home = !router.is_home;
         if !router.is_home {
-            router.controller.rest();
+            router.controller.step_down();
             router.reservation = None;
             router.policy_override = None;
         }
@@ -356,7 +356,7 @@
             // A peer's verdict on the newest order arrives.
             0 | 1 => {
                 if let Some((revision, _)) = &self.store.order {
-                    self.routers[index].controller.condemned(*revision);
+                    self.routers[index].controller.peer_rejected(*revision);
                 }
             }
             // All routers stand still for some seconds.
--- a/crates/stairvale-rollout/tests/outcomes.rs
+++ b/crates/stairvale-rollout/tests/outcomes.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use stairvale_rollout::{Admission, Answer, Bounds, Cause, Facts, Policy, Stage, Step, Steward, Written};
+use stairvale_rollout::{Admission, Answer, Bounds, Cause, FleetStatus, Policy, Stage, Step, RolloutController, Written};
 use stairvale_types::Moment;
 use world::{Route, Service, TICK, TestRng, bounds, healthy, order, version};
 
@@ -128,7 +128,7 @@
 #[test]
 fn the_only_version_is_completed() {
     let mut service = service();
-    service.fleet = Facts { ready_new: 6, ..Facts::default() };
+    service.fleet = FleetStatus { ready_new: 6, ..FleetStatus::default() };
     service.order(Some(order("v1", 12.0)));
     assert!(service.run_to_end(5.0).unwrap() < Duration::from_secs(2));
     assert_eq!(service.stage(), Some(Stage::Completed));
@@ -165,7 +165,7 @@
     for seed in 0..20 {
         let mut service = Service::new(3, 3, routes.to_vec(), healthy, seed);
         let without = Bounds { slack: 0.0, ..bounds() };
-        service.controller = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), without);
+        service.controller = RolloutController::new("r1".parse().unwrap(), "app".parse().unwrap(), without);
         service.order(Some(order("v2", 10.0)));
         service.run_to_end(30.0);
         let record = record(&service);
@@ -287,11 +287,11 @@
 
 #[test]
 fn nothing_is_reserved_while_the_store_cannot_be_reached() {
-    let mut controller = Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds());
+    let mut controller = RolloutController::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds());
     let order = order("v2", 12.0);
-    let fleet = Facts { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..Facts::default() };
+    let fleet = FleetStatus { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..FleetStatus::default() };
     let mut now = Moment::from_millis(1_000);
-    controller.learn(now, Some((1, &order)), None);
+    controller.store_updated(now, Some((1, &order)), None);
     let mut writes = 0;
     for _ in 0..400 {
         now = now + TICK;
@@ -300,7 +300,7 @@
         assert!(!steps.iter().any(|step| matches!(step, Step::Reserve(_))), "{steps:?}");
         if steps.iter().any(|step| matches!(step, Step::Write(_))) {
             writes += 1;
-            controller.written(now, Written::Refused);
+            controller.write_finished(now, Written::Refused);
         }
     }
     assert!(writes <= 25, "{writes} calls in twenty seconds to a store that refuses");
@@ -312,7 +312,7 @@
     service.order(Some(order("v2", 12.0)));
     service.run(4.0);
     let revision = service.store.order.as_ref().unwrap().0;
-    service.controller.condemned(revision);
+    service.controller.peer_rejected(revision);
     let given = service.new_requests;
     service.tick();
     let stage = service.policy_override.as_ref().map(|policy: &Policy| policy.stage);
@@ -331,7 +331,7 @@
     let revision = service.store.order.as_ref().unwrap().0;
     service.store.order(Some(order("v3", 12.0)));
     service.run(0.3);
-    service.controller.condemned(revision);
+    service.controller.peer_rejected(revision);
     service.run(1.0);
     assert_eq!((record(&service).target.clone(), service.stage()), (version("v3"), Some(Stage::Trial)));
 }
@@ -374,7 +374,7 @@
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
     service.run(1.0);
-    let stages: Vec<_> = service.events.iter().map(|event| (event.stage, event.stands)).collect();
+    let stages: Vec<_> = service.events.iter().map(|event| (event.stage, event.is_committed)).collect();
     assert_eq!(stages, [(Stage::Trial, true), (Stage::Moving, true), (Stage::Completed, true)]);
     let moving = &service.events[1];
     assert!(moving.routes.values().all(|tally| tally.new.answers >= 5) && moving.granted > 0, "{moving:?}");
@@ -384,7 +384,7 @@
     service.order(Some(order("v2", 12.0)));
     service.run_to_end(30.0);
     service.run(1.0);
-    let stages: Vec<_> = service.events.iter().map(|event| (event.stage, event.stands)).collect();
+    let stages: Vec<_> = service.events.iter().map(|event| (event.stage, event.is_committed)).collect();
     let bad = Stage::RolledBack(Cause::Failing);
     assert_eq!(stages, [(Stage::Trial, true), (bad, false), (bad, true)]);
     assert!(service.events[1].found.is_some(), "{:?}", service.events[1]);
--- a/crates/stairvale-rollout/tests/world/mod.rs
+++ b/crates/stairvale-rollout/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use stairvale_rollout::{
-    Answer, Bounds, Event, Facts, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, Steward, Write,
+    Answer, Bounds, Event, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, RolloutController, Write,
     Written,
 };
 use stairvale_types::{Moment, id};
@@ -108,12 +108,12 @@
 pub struct Service {
     pub now: Moment,
     pub store: Store,
-    pub controller: Steward,
+    pub controller: RolloutController,
     /// The controller of the router that becomes home next. `next_router_number` is the number of the router after
     /// that.
-    successor: Steward,
+    successor: RolloutController,
     next_router_number: u32,
-    pub fleet: Facts,
+    pub fleet: FleetStatus,
     pub routes: Vec<Route>,
     pub new: Behaviour,
     pub rng: TestRng,
@@ -135,12 +135,12 @@
 
 impl Service {
     pub fn new(old: usize, new: usize, routes: Vec<Route>, behaviour: Behaviour, seed: u64) -> Self {
-        let fleet = Facts { ready_new: new, ready_old: old, serving: Some(version("v1")), ..Facts::default() };
+        let fleet = FleetStatus { ready_new: new, ready_old: old, serving: Some(version("v1")), ..FleetStatus::default() };
         Self {
             now: Moment::from_millis(1_000),
             store: Store::default(),
-            controller: Steward::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds()),
-            successor: Steward::new("r2".parse().unwrap(), "app".parse().unwrap(), bounds()),
+            controller: RolloutController::new("r1".parse().unwrap(), "app".parse().unwrap(), bounds()),
+            successor: RolloutController::new("r2".parse().unwrap(), "app".parse().unwrap(), bounds()),
             next_router_number: 3,
             fleet,
             routes,
@@ -185,7 +185,7 @@
     pub fn kill(&mut self) {
         let next_router_number = self.next_router_number;
         self.next_router_number += 1;
-        let next = Steward::new(format!("r{next_router_number}").parse().unwrap(), "app".parse().unwrap(), bounds());
+        let next = RolloutController::new(format!("r{next_router_number}").parse().unwrap(), "app".parse().unwrap(), bounds());
         self.controller = std::mem::replace(&mut self.successor, next);
         self.reservation = None;
         self.in_flight = None;
@@ -215,12 +215,12 @@
         self.now = self.now + TICK;
         if let Some(write) = self.in_flight.take() {
             let written = self.store.write(&write);
-            self.controller.written(self.now, written);
+            self.controller.write_finished(self.now, written);
         }
         let order = self.store.order.as_ref().map(|(revision, order)| (*revision, order));
         let record = self.store.record.as_ref().map(|(revision, record)| (*revision, record));
-        self.controller.learn(self.now, order, record);
-        self.successor.learn(self.now, order, record);
+        self.controller.store_updated(self.now, order, record);
+        self.successor.store_updated(self.now, order, record);
         let report = self.serve();
         self.controller.observe(self.now, report);
         for step in self.controller.tick(self.now, &self.fleet) {
@@ -231,13 +231,13 @@
                     let first = self.rng.below(self.fleet.ready_new);
                     self.reservation = Some((reservation, reservation.requests, first));
                 }
-                Step::Follow(policy) => {
+                Step::SetPolicy(policy) => {
                     if matches!(policy.stage, Stage::RolledBack(_)) && self.bad_at_verdict.is_none() {
                         self.bad_at_verdict = Some(self.new_bad);
                     }
                     self.policy_override = Some(policy);
                 }
-                Step::Say(event) => self.events.push(event),
+                Step::Log(event) => self.events.push(event),
             }
         }
     }
@@ -303,7 +303,7 @@
                     return None;
                 }
                 // New upstreams carry as much as old ones: a share of the requests in proportion to their number.
-                let over = reservation.over;
+                let over = reservation.upstreams;
                 let share = over as f64 / (over + self.fleet.ready_old) as f64;
                 if !self.rng.chance(share) {
                     return None;
--- a/crates/stairvale-rollout/tests/writes.rs
+++ b/crates/stairvale-rollout/tests/writes.rs
@@ -7,31 +7,31 @@
 
 use std::time::Duration;
 
-use stairvale_rollout::{Facts, Order, Record, Report, Reservation, Stage, Step, Steward, Write, Written};
+use stairvale_rollout::{FleetStatus, Order, Record, Report, Reservation, Stage, Step, RolloutController, Write, Written};
 use stairvale_types::Moment;
 use world::{Store, TICK, bounds, order, version};
 
 /// A controller that a test drives step by step, with 5 requests per tick.
 struct Home {
     now: Moment,
-    controller: Steward,
+    controller: RolloutController,
     reservations: Vec<Reservation>,
 }
 
-fn fleet() -> Facts {
-    Facts { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..Facts::default() }
+fn fleet() -> FleetStatus {
+    FleetStatus { ready_new: 6, ready_old: 6, serving: Some(version("v1")), ..FleetStatus::default() }
 }
 
 impl Home {
     fn new(name: &str) -> Self {
-        let controller = Steward::new(name.parse().unwrap(), "app".parse().unwrap(), bounds());
+        let controller = RolloutController::new(name.parse().unwrap(), "app".parse().unwrap(), bounds());
         Self { now: Moment::from_millis(1_000), controller, reservations: Vec::new() }
     }
 
     fn learn(&mut self, store: &Store) {
         let order: Option<(u64, &Order)> = store.order.as_ref().map(|(revision, order)| (*revision, order));
         let record: Option<(u64, &Record)> = store.record.as_ref().map(|(revision, record)| (*revision, record));
-        self.controller.learn(self.now, order, record);
+        self.controller.store_updated(self.now, order, record);
     }
 
     fn tick(&mut self) -> Option<Write> {
@@ -42,7 +42,7 @@
             match step {
                 Step::Write(wanted) => write = Some(wanted),
                 Step::Reserve(reservation) if reservation.requests > 0 => self.reservations.push(reservation),
-                Step::Reserve(_) | Step::Follow(_) | Step::Say(_) => {}
+                Step::Reserve(_) | Step::SetPolicy(_) | Step::Log(_) => {}
             }
         }
         write
@@ -54,7 +54,7 @@
     }
 
     fn finish_write(&mut self, written: Written) {
-        self.controller.written(self.now, written);
+        self.controller.write_finished(self.now, written);
     }
 
     /// Lets the controller write the first record for the order.
@@ -242,7 +242,7 @@
     let (mut store, mut home) = (ordered(), Home::new("r1"));
     home.start_roll_out(&mut store);
     let write = home.write();
-    home.controller.rest();
+    home.controller.step_down();
     let written = store.write(&write);
     home.finish_write(written);
     home.tick();
--- a/crates/stairvale-serve/src/core/rollouts.rs
+++ b/crates/stairvale-serve/src/core/rollouts.rs
@@ -7,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairvale_replica::{Revision, Subject};
-use stairvale_rollout::{Admission, Cause, Policy, Reservation, Stage, Step, Steward, Write, Written};
+use stairvale_rollout::{Admission, Cause, Policy, Reservation, Stage, Step, RolloutController, Write, Written};
 use stairvale_types::{Moment, id};
 
 use super::{Core, Effect, writing::Writing};
 use crate::frame::Frame;
 
 /// The reservation of a pool whose router isn't the home.
-const EMPTY_RESERVATION: Reservation = Reservation { requests: 0, until: Moment::ZERO, over: 1, unrepeatable: false };
+const EMPTY_RESERVATION: Reservation = Reservation { requests: 0, until: Moment::ZERO, upstreams: 1, unrepeatable: false };
 
 /// Maximum number of services for which a rejected version is remembered before the store shows it: several times the
 /// number of roll-outs that a fleet runs at once.
@@ -33,7 +33,7 @@
 /// The roll-out of one service.
 #[derive(Debug)]
 struct Rollout {
-    controller: Steward,
+    controller: RolloutController,
     /// Whether this router controlled the roll-out when it was last checked.
     is_controlling: bool,
     /// The policy that the controller set at this router as the home; it takes precedence over the copy of the store.
@@ -110,7 +110,7 @@
             if known.epoch() < stored.epoch() && known.number() == stored.number() {
                 *rejected = current;
                 if let Some(rollout) = self.rollouts.services.get_mut(service) {
-                    rollout.controller.condemned(current);
+                    rollout.controller.peer_rejected(current);
                 }
             }
         }
@@ -121,13 +121,13 @@
             if let Some(pool) = pools.get_mut(service) {
                 pool.report();
             }
-            let mut controller = Steward::new(me.clone(), service.clone(), bounds);
+            let mut controller = RolloutController::new(me.clone(), service.clone(), bounds);
             if let Some(order) = rejected {
-                controller.condemned(order);
+                controller.peer_rejected(order);
             }
             Rollout { controller, is_controlling: false, controller_policy: None, last_reported: None }
         });
-        rollout.controller.learn(now, order, record);
+        rollout.controller.store_updated(now, order, record);
         if record
             .is_some_and(|(_, record)| record.stage.is_over() && rejected.is_some_and(|order| order <= record.order))
         {
@@ -188,7 +188,7 @@
             if !controlled {
                 return Vec::new();
             }
-            rollout.controller.rest();
+            rollout.controller.step_down();
             rollout.controller_policy = None;
             pool.reserve(EMPTY_RESERVATION);
             return self.update_pool_policy(now, service);
@@ -201,14 +201,14 @@
     fn apply_step(&mut self, now: Moment, service: &id::Service, step: Step) -> Vec<Effect> {
         match step {
             Step::Write(write) => self.write(now, write),
-            Step::Say(event) => vec![Effect::Say(Box::new(event))],
+            Step::Log(event) => vec![Effect::Say(Box::new(event))],
             Step::Reserve(reservation) => {
                 if let Some(pool) = self.pools.get_mut(service) {
                     pool.reserve(reservation);
                 }
                 Vec::new()
             }
-            Step::Follow(policy) => {
+            Step::SetPolicy(policy) => {
                 let mut effects = match policy.stage {
                     Stage::RolledBack(Cause::Failing | Cause::Slow) => self.reject_version(service),
                     Stage::RolledBack(Cause::Withdrawn | Cause::Missing | Cause::Unproven)
@@ -232,7 +232,7 @@
     /// be unavailable.
     fn reject_version(&mut self, service: &id::Service) -> Vec<Effect> {
         // The rejection concerns the order itself: a later order may carry the same version name after a fix.
-        let Some(order) = self.rollouts.services.get(service).and_then(|rollout| rollout.controller.condemns()) else {
+        let Some(order) = self.rollouts.services.get(service).and_then(|rollout| rollout.controller.rejected_order()) else {
             return Vec::new();
         };
         if self.rollouts.rejected_orders.get(service).is_some_and(|rejected| *rejected >= order) {
@@ -255,7 +255,7 @@
         }
         self.rollouts.rejected_orders.insert(service.clone(), order);
         if let Some(rollout) = self.rollouts.services.get_mut(service) {
-            rollout.controller.condemned(order);
+            rollout.controller.peer_rejected(order);
         }
         let mut effects = self.update_pool_policy(now, service);
         effects.extend(self.run_controller(now, service));
@@ -321,7 +321,7 @@
 
     fn handle_written(&mut self, now: Moment, service: &id::Service, written: Written) -> Vec<Effect> {
         if let Some(rollout) = self.rollouts.services.get_mut(service) {
-            rollout.controller.written(now, written);
+            rollout.controller.write_finished(now, written);
         }
         self.run_controller(now, service)
     }
