--- a/crates/stairvale-control/src/fleet.rs
+++ b/crates/stairvale-control/src/fleet.rs
@@ -188,7 +188,7 @@
     }
 
     fn usable(&self, upstream: &id::Upstream) -> bool {
-        let rests = self.upstreams.get(upstream).is_some_and(|u| u.rests(self.now));
+        let rests = self.upstreams.get(upstream).is_some_and(|u| u.is_in_backoff(self.now));
         self.takes_work(upstream) && !rests
     }
 
--- a/crates/stairvale-control/src/handlers/frames.rs
+++ b/crates/stairvale-control/src/handlers/frames.rs
@@ -101,7 +101,7 @@
     }
 
     pub(crate) fn peer_unreachable(&mut self, router: &id::Router) {
-        self.fleet.swim.doubt(self.now, router);
+        self.fleet.swim.probe_next(self.now, router);
         let effects = self.entry.home_unreachable(self.now, &self.fleet, router);
         self.entry_effects(effects);
         let lost = self.pending_claims.iter().filter(|(_, pending)| &pending.owner == router);
--- a/crates/stairvale-control/src/handlers/members.rs
+++ b/crates/stairvale-control/src/handlers/members.rs
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn send_statuses(&mut self, to: &id::Router) {
-        let statuses: Vec<_> = self.fleet.upstreams.iter().filter_map(|upstream| upstream.word.clone()).collect();
+        let statuses: Vec<_> = self.fleet.upstreams.iter().filter_map(|upstream| upstream.latest_report.clone()).collect();
         if !statuses.is_empty() {
             self.send(to, Frame::Words(statuses));
         }
@@ -118,13 +118,13 @@
     }
 
     pub(crate) fn update_vms(&mut self, revision: u64, vms: &[Vm]) {
-        if !self.fleet.upstreams.list(self.now, revision, vms) {
+        if !self.fleet.upstreams.apply_vm_list(self.now, revision, vms) {
             return;
         }
         let me = self.me.to_string();
         let routers = vms.iter().filter(|vm| vm.role == Role::Router && vm.name != me);
         for router in routers {
-            self.fleet.swim.introduce(router.address);
+            self.fleet.swim.add_seed(router.address);
         }
         self.update_status_digest();
         self.refresh();
--- a/crates/stairvale-control/src/handlers/mod.rs
+++ b/crates/stairvale-control/src/handlers/mod.rs
@@ -24,7 +24,7 @@
             }
             Input::PeerUnreachable(router) => self.peer_unreachable(&router),
             Input::Request(request) => self.request(request),
-            Input::Rests { upstream, length } => self.fleet.upstreams.rest(self.now, &upstream, length),
+            Input::Rests { upstream, length } => self.fleet.upstreams.set_backoff(self.now, &upstream, length),
             Input::End { attempt, success, unreachable } => self.end(attempt, success, unreachable),
             Input::Claim { key, attempt } => self.claim(key, attempt),
             Input::Asked { customer, passed } => self.count_request(&customer, passed),
--- a/crates/stairvale-control/src/handlers/requests.rs
+++ b/crates/stairvale-control/src/handlers/requests.rs
@@ -83,7 +83,7 @@
         }
         if let Some(upstream) = upstream {
             if unreachable {
-                self.fleet.upstreams.failed(self.now, &upstream);
+                self.fleet.upstreams.record_connection_failure(self.now, &upstream);
                 if let Some(home) = self.fleet.home(&upstream, 0) {
                     self.send(&home, Frame::Trouble { upstream });
                 }
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -26,7 +26,7 @@
 impl Node {
     pub(crate) fn tick_upstreams(&mut self) {
         self.fleet.upstreams.tick(self.now);
-        let forgotten = self.fleet.upstreams.forget(self.now);
+        let forgotten = self.fleet.upstreams.remove_unlisted(self.now);
         for upstream in &forgotten {
             self.home.forget_upstream(upstream);
         }
@@ -62,7 +62,7 @@
     /// Recomputes the digest of all status reports after one of them changed.
     pub(crate) fn update_status_digest(&mut self) {
         self.status_digest = self.fleet.upstreams.digest();
-        self.fleet.swim.set_words(self.status_digest);
+        self.fleet.swim.set_upstream_digest(self.status_digest);
     }
 
     pub(crate) fn probed(&mut self, upstream: &id::Upstream, report: Option<Report>) {
@@ -73,7 +73,7 @@
         let Some(report) = report else {
             probe.misses += 1;
             let missed = probe.misses >= MAX_MISSED_PROBES;
-            let status = self.fleet.upstreams.missed(upstream).filter(|_| missed);
+            let status = self.fleet.upstreams.unreachable_report(upstream).filter(|_| missed);
             if let Some(status) = status {
                 self.apply_status(&status);
             }
@@ -84,7 +84,7 @@
         probe.loaded = report.model;
         let answers = self.home.report_load(self.now, upstream, report.load);
         self.send_answers(answers);
-        let status = self.fleet.upstreams.reached(upstream, report.boot, report.change, report.state);
+        let status = self.fleet.upstreams.reachable_report(upstream, report.boot, report.change, report.state);
         if let Some(status) = status {
             self.apply_status(&status);
         }
@@ -93,8 +93,8 @@
     /// Applies a status report of an upstream, from this router's own probe or from a peer, and passes a new one on by
     /// gossip.
     pub(crate) fn apply_status(&mut self, status: &Word) {
-        let before = self.fleet.upstream(&status.upstream).and_then(|u| u.word.as_ref().map(|status| status.state));
-        if !self.fleet.upstreams.hear(self.now, status) {
+        let before = self.fleet.upstream(&status.upstream).and_then(|u| u.latest_report.as_ref().map(|status| status.state));
+        if !self.fleet.upstreams.record_report(self.now, status) {
             return;
         }
         if before != Some(status.state) {
@@ -104,7 +104,7 @@
         }
         self.update_status_digest();
         self.sync_open(&status.upstream);
-        let effects = self.fleet.swim.spread(status.clone());
+        let effects = self.fleet.swim.gossip_report(status.clone());
         self.swim_effects(effects);
     }
 
--- a/crates/stairvale-membership/src/swim.rs
+++ b/crates/stairvale-membership/src/swim.rs
@@ -244,7 +244,7 @@
     // Changes.
 
     /// Adds a router's address from the list of VMs. Its first packet shows whether the router is alive.
-    pub fn introduce(&mut self, address: SocketAddr) {
+    pub fn add_seed(&mut self, address: SocketAddr) {
         let known = self.peers.values().any(|peer| peer.member.address == address);
         if address != self.me.address && !known && !self.seeds.contains(&address) {
             self.seeds.push(address);
@@ -254,7 +254,7 @@
     /// Assumes that listed routers are alive until they leave probes unanswered, and pings them at once, so that all
     /// routers which read the same list agree on their roles before they have received anything from each other. A
     /// router already on record keeps its entry, unless it is dead or leaving and is now listed with another address.
-    pub fn presume(&mut self, now: Moment, listed: Vec<Member>) -> Vec<Effect> {
+    pub fn assume_alive(&mut self, now: Moment, listed: Vec<Member>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for member in listed {
             let known = self.peers.get(&member.router).map(|peer| &peer.member);
@@ -275,7 +275,7 @@
     }
 
     /// Pings all seeds at once, rather than one with each probe.
-    pub fn knock_at_seeds(&mut self) -> Vec<Effect> {
+    pub fn ping_seeds(&mut self) -> Vec<Effect> {
         let me = self.me.address;
         let seeds: Vec<_> = self.seeds.iter().copied().filter(|seed| *seed != me).collect();
         seeds.into_iter().map(|to| self.send(to, Body::Ping { probe: 0 })).collect()
@@ -284,12 +284,12 @@
     /// All live routers, as they are sent to a router that has just started; those that are only assumed to be alive
     /// are left out.
     #[must_use]
-    pub fn told(&self) -> Vec<Member> {
+    pub fn live_members(&self) -> Vec<Member> {
         self.live().filter(|member| member.incarnation.0 > 0).cloned().collect()
     }
 
     /// Merges the live routers that a peer reported. The rest of the fleet has them on record, so they aren't gossiped.
-    pub fn learn_members(&mut self, now: Moment, members: Vec<Member>) -> Vec<Effect> {
+    pub fn merge_members(&mut self, now: Moment, members: Vec<Member>) -> Vec<Effect> {
         let others: Vec<_> = members.into_iter().filter(|member| member.router != self.me.router).collect();
         others.into_iter().filter_map(|member| self.merge_member(now, member)).flatten().collect()
     }
@@ -311,12 +311,12 @@
     }
 
     /// Sets the digest of this router's upstream reports, which every packet carries.
-    pub fn set_words(&mut self, digest: u64) {
+    pub fn set_upstream_digest(&mut self, digest: u64) {
         self.upstream_digest = digest;
     }
 
     /// Gossips a status report of an upstream, which a few peers are sent at once.
-    pub fn spread(&mut self, report: Word) -> Vec<Effect> {
+    pub fn gossip_report(&mut self, report: Word) -> Vec<Effect> {
         self.enqueue(Update::Upstream(report));
         self.notify_some_peers()
     }
@@ -339,7 +339,7 @@
     }
 
     /// Schedules a peer to be probed next because a stream to it broke.
-    pub fn doubt(&mut self, now: Moment, router: &id::Router) {
+    pub fn probe_next(&mut self, now: Moment, router: &id::Router) {
         if self.peers.get(router).is_some_and(|peer| peer.member.status == Status::Alive) {
             self.probe_round.push(router.clone());
             // A probe in flight is given its full time first.
--- a/crates/stairvale-membership/src/upstreams.rs
+++ b/crates/stairvale-membership/src/upstreams.rs
@@ -36,7 +36,7 @@
     /// The upstream's capacity relative to others.
     pub weight: u32,
     /// The latest report of the upstream or of its prober.
-    pub word: Option<Word>,
+    pub latest_report: Option<Word>,
     /// Whether the platform is removing the upstream.
     pub leaving: bool,
     unlisted_since: Option<Moment>,
@@ -56,7 +56,7 @@
             zone: vm.zone.clone(),
             address: vm.address,
             weight: vm.weight.max(1),
-            word: None,
+            latest_report: None,
             leaving: vm.leaving,
             unlisted_since: None,
             cool_until: Moment::ZERO,
@@ -72,14 +72,14 @@
     /// connections, then flap damping; the platform's lagging list can only withdraw an upstream.
     #[must_use]
     pub fn usable(&self, now: Moment) -> bool {
-        let serving = self.word.as_ref().is_some_and(|report| report.state == State::Serving);
+        let serving = self.latest_report.as_ref().is_some_and(|report| report.state == State::Serving);
         serving && !self.leaving && self.unlisted_since.is_none() && !self.suppressed && now >= self.cool_until
     }
 
     /// Whether the upstream wants no requests from this router now, as it stated when it rejected one of them. Other
     /// routers may send it work.
     #[must_use]
-    pub fn rests(&self, now: Moment) -> bool {
+    pub fn is_in_backoff(&self, now: Moment) -> bool {
         now < self.backoff_until
     }
 
@@ -135,7 +135,7 @@
     /// A digest of all reports: two routers with the same digest have the same reports.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let reports = self.upstreams.values().filter_map(|upstream| upstream.word.as_ref());
+        let reports = self.upstreams.values().filter_map(|upstream| upstream.latest_report.as_ref());
         reports.map(report_digest).fold(0, u64::wrapping_add)
     }
 
@@ -150,7 +150,7 @@
 
     /// Applies the platform's list of VMs. Returns `false` if it isn't newer than the last one, so that nothing
     /// changes.
-    pub fn list(&mut self, now: Moment, revision: u64, vms: &[Vm]) -> bool {
+    pub fn apply_vm_list(&mut self, now: Moment, revision: u64, vms: &[Vm]) -> bool {
         if revision <= self.revision {
             return false;
         }
@@ -172,7 +172,7 @@
             return;
         };
         let early = self.early_reports.remove(&name);
-        let new = || Upstream { word: early, ..Upstream::new(vm, service, name.clone()) };
+        let new = || Upstream { latest_report: early, ..Upstream::new(vm, service, name.clone()) };
         let upstream = self.upstreams.entry(name.clone()).or_insert_with(new);
         upstream.unlisted_since = None;
         upstream.leaving = vm.leaving;
@@ -182,7 +182,7 @@
     }
 
     /// Removes upstreams that the platform hasn't listed for long, and returns their names.
-    pub fn forget(&mut self, now: Moment) -> Vec<id::Upstream> {
+    pub fn remove_unlisted(&mut self, now: Moment) -> Vec<id::Upstream> {
         let is_due =
             |upstream: &Upstream| upstream.unlisted_since.is_some_and(|since| now.since(since) >= UNLISTED_RETENTION);
         let names: Vec<_> =
@@ -195,17 +195,17 @@
 
     /// Applies a report that was received from the upstream or through peers. Only a later one changes anything;
     /// returns whether it did.
-    pub fn hear(&mut self, now: Moment, report: &Word) -> bool {
+    pub fn record_report(&mut self, now: Moment, report: &Word) -> bool {
         let Some(upstream) = self.upstreams.get_mut(&report.upstream) else {
             self.store_early(report);
             return false;
         };
-        let old = upstream.word.as_ref();
+        let old = upstream.latest_report.as_ref();
         if old.is_some_and(|old| report.order() <= old.order()) {
             return false;
         }
         let returned = old.is_some_and(|old| old.state == State::Unreachable) && report.state == State::Serving;
-        upstream.word = Some(report.clone());
+        upstream.latest_report = Some(report.clone());
         if returned {
             upstream.decay_flap_penalty(now);
             upstream.flap_penalty += 1.0;
@@ -225,8 +225,8 @@
 
     /// The prober's next report, after the upstream answered with its own counters.
     #[must_use]
-    pub fn reached(&self, name: &id::Upstream, boot: u64, change: u64, state: State) -> Option<Word> {
-        let old = self.upstreams.get(name)?.word.as_ref();
+    pub fn reachable_report(&self, name: &id::Upstream, boot: u64, change: u64, state: State) -> Option<Word> {
+        let old = self.upstreams.get(name)?.latest_report.as_ref();
         let same = old.filter(|old| (old.boot, old.change) == (boot, change));
         let reach = same.map_or(0, |old| old.reach + u64::from(old.state == State::Unreachable));
         Some(Word { upstream: name.clone(), boot, change, reach, state })
@@ -235,8 +235,8 @@
     /// The prober's next report, after the upstream didn't answer; `None` if there is no report yet or it already
     /// states that.
     #[must_use]
-    pub fn missed(&self, name: &id::Upstream) -> Option<Word> {
-        let old = self.upstreams.get(name)?.word.as_ref()?;
+    pub fn unreachable_report(&self, name: &id::Upstream) -> Option<Word> {
+        let old = self.upstreams.get(name)?.latest_report.as_ref()?;
         if old.state == State::Unreachable {
             return None;
         }
@@ -244,7 +244,7 @@
     }
 
     /// Records that a connection from this router failed, so that the upstream is sent nothing for a while.
-    pub fn failed(&mut self, now: Moment, name: &id::Upstream) {
+    pub fn record_connection_failure(&mut self, now: Moment, name: &id::Upstream) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             let cool_down = (upstream.cool_down * 2).clamp(COOL_DOWN, MAX_COOL_DOWN);
             upstream.cool_down = cool_down;
@@ -254,7 +254,7 @@
 
     /// Records that an upstream rejected a request of this router and wants no more of them for the given duration. A
     /// shorter duration doesn't end a longer one in force.
-    pub fn rest(&mut self, now: Moment, name: &id::Upstream, duration: Duration) {
+    pub fn set_backoff(&mut self, now: Moment, name: &id::Upstream, duration: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.backoff_until = upstream.backoff_until.max(now + duration);
         }
--- a/crates/stairvale-membership/tests/membership.rs
+++ b/crates/stairvale-membership/tests/membership.rs
@@ -169,7 +169,7 @@
 /// A router without peers that assumes the listed ones to be alive.
 fn assuming_alive(listed: &[u16]) -> (Swim, Vec<Effect>) {
     let mut swim = Swim::new(member(0), Settings::default(), 7);
-    let effects = swim.presume(Moment::ZERO, listed.iter().map(|number| member(*number)).collect());
+    let effects = swim.assume_alive(Moment::ZERO, listed.iter().map(|number| member(*number)).collect());
     (swim, effects)
 }
 
@@ -177,7 +177,7 @@
 fn a_listed_router_is_assumed_alive_until_it_does_not_answer() {
     let mut net = Net::new(1);
     let listed = vec![member(1), member(2)];
-    let effects = net.routers.get_mut(&address(0)).unwrap().presume(Moment::ZERO, listed.clone());
+    let effects = net.routers.get_mut(&address(0)).unwrap().assume_alive(Moment::ZERO, listed.clone());
     let pinged = effects.iter().filter(|effect| matches!(effect, Effect::Send { .. })).count();
     assert_eq!((net.live(0), pinged), (3, 2));
     // Only one of the listed routers runs.
@@ -188,11 +188,11 @@
     net.run(Duration::from_secs(3));
     assert_eq!(net.live(0), 2);
     // An observed death takes precedence over the list, which may be old.
-    let again = net.routers.get_mut(&address(0)).unwrap().presume(net.now, listed);
+    let again = net.routers.get_mut(&address(0)).unwrap().assume_alive(net.now, listed);
     assert!(again.is_empty());
     // A dead router that is listed with another address may be alive.
     let moved = wire::Member { address: address(9), ..member(2) };
-    let again = net.routers.get_mut(&address(0)).unwrap().presume(net.now, vec![moved]);
+    let again = net.routers.get_mut(&address(0)).unwrap().assume_alive(net.now, vec![moved]);
     assert!(again.iter().any(|effect| matches!(effect, Effect::Send { to, .. } if *to == address(9))));
 }
 
@@ -201,7 +201,7 @@
     let mut net = Net::new(count);
     let all: Vec<_> = (0..count).map(member).collect();
     for router in net.routers.values_mut() {
-        router.learn_members(Moment::ZERO, all.clone());
+        router.merge_members(Moment::ZERO, all.clone());
     }
     net.run(Duration::from_secs(1));
     net.died.clear();
@@ -274,7 +274,7 @@
 fn a_probe_in_flight_is_not_evaluated_early_when_another_router_is_to_be_probed() {
     let (mut swim, _) = assuming_alive(&[1, 2]);
     // Both routers are recorded as alive.
-    let effects = swim.learn_members(Moment::ZERO, vec![member(1), member(2)]);
+    let effects = swim.merge_members(Moment::ZERO, vec![member(1), member(2)]);
     assert!(effects.is_empty() || swim.live().count() == 3);
     let sent = swim.tick(Moment::from_millis(10));
     let probed = sent.iter().find_map(|effect| match effect {
@@ -282,7 +282,7 @@
         _ => None,
     });
     let other = if probed == Some(address(1)) { member(2) } else { member(1) };
-    swim.doubt(Moment::from_millis(12), &other.router);
+    swim.probe_next(Moment::from_millis(12), &other.router);
     swim.tick(Moment::from_millis(14));
     assert!(swim.peers().all(|peer| peer.status == Status::Alive), "a probe isn't overdue after 2 ms");
 }
@@ -291,11 +291,11 @@
 fn an_older_list_of_members_changes_nothing() {
     let (mut swim, _) = assuming_alive(&[]);
     let later = wire::Member { incarnation: id::Incarnation(4), status: Status::Leaving, ..member(1) };
-    swim.learn_members(Moment::ZERO, vec![later.clone(), member(2)]);
-    let effects = swim.learn_members(Moment::ZERO, vec![member(1), member(2), member(0)]);
+    swim.merge_members(Moment::ZERO, vec![later.clone(), member(2)]);
+    let effects = swim.merge_members(Moment::ZERO, vec![member(1), member(2), member(0)]);
     assert!(effects.is_empty());
     assert_eq!(swim.peer(&later.router), Some(&later));
-    assert_eq!(swim.told().len(), 2, "this router and the live peer");
+    assert_eq!(swim.live_members().len(), 2, "this router and the live peer");
 }
 
 #[test]
@@ -317,7 +317,7 @@
         let strength = if number == 1 { 50 } else { 12 };
         Member { zone, strength, ..member(number) }
     });
-    swim.learn_members(Moment::ZERO, others.collect());
+    swim.merge_members(Moment::ZERO, others.collect());
     swim
 }
 
@@ -391,7 +391,7 @@
     for number in 0..2_000 {
         let upstream = format!("a-rather-long-upstream-name-{number}").parse().unwrap();
         let report = Word { upstream, boot: u64::MAX, change: 3, reach: 4, state: State::Draining };
-        swim.spread(report);
+        swim.gossip_report(report);
     }
     let effects = swim.tick(Moment::from_millis(300));
     let Some(Effect::Send { packet, .. }) = effects.first() else {
@@ -422,7 +422,7 @@
 
 fn listed() -> Upstreams {
     let mut upstreams = Upstreams::new();
-    assert!(upstreams.list(Moment::ZERO, 1, &[vm("e", false)]));
+    assert!(upstreams.apply_vm_list(Moment::ZERO, 1, &[vm("e", false)]));
     upstreams
 }
 
@@ -434,21 +434,21 @@
 fn the_list_alone_makes_no_upstream_usable_but_withdraws_it() {
     let mut upstreams = listed();
     assert!(!usable(&upstreams, Moment::ZERO), "it hasn't sent a report itself");
-    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
     assert!(usable(&upstreams, Moment::ZERO));
-    upstreams.list(Moment::ZERO, 2, &[vm("e", true)]);
+    upstreams.apply_vm_list(Moment::ZERO, 2, &[vm("e", true)]);
     assert!(!usable(&upstreams, Moment::ZERO));
-    assert!(!upstreams.list(Moment::ZERO, 1, &[vm("e", false)]), "an older list changes nothing");
+    assert!(!upstreams.apply_vm_list(Moment::ZERO, 1, &[vm("e", false)]), "an older list changes nothing");
 }
 
 #[test]
 fn an_upstreams_own_report_takes_precedence_over_the_list() {
     let mut upstreams = listed();
-    upstreams.hear(Moment::ZERO, &report(1, 1, 0, State::Draining));
+    upstreams.record_report(Moment::ZERO, &report(1, 1, 0, State::Draining));
     assert!(!usable(&upstreams, Moment::ZERO), "it drains, whatever the list says");
-    upstreams.hear(Moment::ZERO, &report(1, 0, 5, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 5, State::Serving));
     assert!(!usable(&upstreams, Moment::ZERO), "an earlier report that arrives late changes nothing");
-    upstreams.hear(Moment::ZERO, &report(2, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(2, 0, 0, State::Serving));
     assert!(usable(&upstreams, Moment::ZERO), "a new incarnation starts afresh");
 }
 
@@ -456,14 +456,14 @@
 fn failed_connections_cool_down_and_double() {
     let mut upstreams = listed();
     let name = "e".parse().unwrap();
-    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
-    upstreams.failed(Moment::ZERO, &name);
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.record_connection_failure(Moment::ZERO, &name);
     assert!(!usable(&upstreams, Moment::from_millis(499)));
     assert!(usable(&upstreams, Moment::from_millis(500)));
-    upstreams.failed(Moment::from_millis(500), &name);
+    upstreams.record_connection_failure(Moment::from_millis(500), &name);
     assert!(!usable(&upstreams, Moment::from_millis(1_499)));
     upstreams.succeeded(&name);
-    upstreams.failed(Moment::from_millis(2_000), &name);
+    upstreams.record_connection_failure(Moment::from_millis(2_000), &name);
     assert!(usable(&upstreams, Moment::from_millis(2_500)));
 }
 
@@ -473,8 +473,8 @@
     let mut reach = 0;
     for flap in 0..6 {
         let now = Moment::from_millis(flap * 500);
-        upstreams.hear(now, &report(1, 0, reach + 1, State::Unreachable));
-        upstreams.hear(now, &report(1, 0, reach + 2, State::Serving));
+        upstreams.record_report(now, &report(1, 0, reach + 1, State::Unreachable));
+        upstreams.record_report(now, &report(1, 0, reach + 2, State::Serving));
         reach += 2;
     }
     let now = Moment::from_millis(3_000);
@@ -488,11 +488,11 @@
 #[test]
 fn an_unlisted_upstream_keeps_its_rank_for_a_while() {
     let mut upstreams = listed();
-    upstreams.hear(Moment::ZERO, &report(1, 0, 0, State::Serving));
-    upstreams.list(Moment::ZERO, 2, &[]);
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.apply_vm_list(Moment::ZERO, 2, &[]);
     assert!(!usable(&upstreams, Moment::ZERO));
-    assert!(upstreams.forget(Moment::from_millis(1_000)).is_empty());
-    assert_eq!(upstreams.forget(Moment::ZERO + UNLISTED_RETENTION).len(), 1);
+    assert!(upstreams.remove_unlisted(Moment::from_millis(1_000)).is_empty());
+    assert_eq!(upstreams.remove_unlisted(Moment::ZERO + UNLISTED_RETENTION).len(), 1);
 }
 
 quickcheck! {
@@ -507,10 +507,10 @@
         ];
         let mut upstreams = listed();
         for index in order {
-            upstreams.hear(Moment::ZERO, &reports[index % reports.len()]);
+            upstreams.record_report(Moment::ZERO, &reports[index % reports.len()]);
         }
         for report in &reports {
-            upstreams.hear(Moment::ZERO, report);
+            upstreams.record_report(Moment::ZERO, report);
         }
         !usable(&upstreams, Moment::from_millis(60_000))
     }
--- a/crates/stairvale-replica/src/lib.rs
+++ b/crates/stairvale-replica/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod written;
 
 pub use item::{Item, Router, State, Subject, Upstream, Value};
-pub use news::News;
+pub use news::StoreUpdate;
 pub use stairvale_types::Revision;
 pub use view::View;
--- a/crates/stairvale-replica/src/news.rs
+++ b/crates/stairvale-replica/src/news.rs
@@ -7,7 +7,7 @@
 /// An update of a router's copy of the store, as it is read from the store or sent to a peer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "Written<'_>")]
-pub enum News {
+pub enum StoreUpdate {
     /// All changes after one revision, up to another.
     Changes {
         /// The revision that the changes follow on.
@@ -26,7 +26,7 @@
     },
 }
 
-impl News {
+impl StoreUpdate {
     /// The revision that a copy reaches with this update.
     #[must_use]
     pub fn to(&self) -> Revision {
--- a/crates/stairvale-replica/src/view.rs
+++ b/crates/stairvale-replica/src/view.rs
@@ -10,7 +10,7 @@
 use stairvale_types::{Moment, id};
 
 use crate::{
-    Item, News, Revision, Subject, Value,
+    Item, StoreUpdate, Revision, Subject, Value,
     item::{State, Upstream},
     restore::{self, WithheldEntries},
 };
@@ -122,13 +122,13 @@
 
     /// A counter that rises when the routers registered in the store change.
     #[must_use]
-    pub fn names(&self) -> u64 {
+    pub fn routers_revision(&self) -> u64 {
         self.routers_revision
     }
 
     /// The update that a peer needs whose copy is at `revision`; `None` if it lacks nothing that this copy has.
     #[must_use]
-    pub fn since(&self, revision: u64) -> Option<News> {
+    pub fn since(&self, revision: u64) -> Option<StoreUpdate> {
         let peer = Revision::from(revision);
         let peer_is_empty = peer.number() == 0;
         if self.revision == 0 || !peer_is_empty && revision >= self.revision {
@@ -148,12 +148,12 @@
         } else {
             self.log.iter().filter(later).cloned().collect()
         };
-        Some(News::Changes { after: revision, to: self.revision, items })
+        Some(StoreUpdate::Changes { after: revision, to: self.revision, items })
     }
 
-    fn full_update(&self) -> News {
+    fn full_update(&self) -> StoreUpdate {
         let present = self.items.values().filter(|item| item.value.is_some());
-        News::Everything { to: self.revision, items: present.chain(self.withheld.items()).cloned().collect() }
+        StoreUpdate::Everything { to: self.revision, items: present.chain(self.withheld.items()).cloned().collect() }
     }
 
     // ------------------------------------------------------------------------
@@ -161,24 +161,24 @@
 
     /// Applies an update that this router read from the store by a call made at `requested_at`. Returns `false` if the
     /// update doesn't follow on this copy's revision, so that a full update is needed, or if it is of an earlier epoch.
-    pub fn read(&mut self, now: Moment, requested_at: Moment, mut update: News) -> bool {
+    pub fn apply_read(&mut self, now: Moment, requested_at: Moment, mut update: StoreUpdate) -> bool {
         if update.to().epoch() < self.epoch {
             return false;
         }
         self.unrecorded_restore |= self.crosses_restore(&update);
         self.record_restore(now);
         let sure = self.last_store_failure.is_none_or(|failure| now.since(failure) >= STORE_FAULT_WINDOW);
-        let (News::Changes { items, .. } | News::Everything { items, .. }) = &mut update;
+        let (StoreUpdate::Changes { items, .. } | StoreUpdate::Everything { items, .. }) = &mut update;
         for item in items.iter_mut().filter(|item| item.value.is_none()) {
             item.sure = sure;
         }
         self.last_read = Some(now);
         let applied = match update {
-            News::Everything { to, items } => {
+            StoreUpdate::Everything { to, items } => {
                 self.replace(to, items, sure);
                 true
             }
-            News::Changes { .. } => self.take(update),
+            StoreUpdate::Changes { .. } => self.apply(update),
         };
         if applied {
             self.confirm(requested_at);
@@ -188,14 +188,14 @@
 
     /// Applies an update from a peer. Returns `false` if it doesn't follow on this copy's revision, so that a full
     /// update is needed. An update of an earlier epoch is dropped.
-    pub fn take(&mut self, update: News) -> bool {
+    pub fn apply(&mut self, update: StoreUpdate) -> bool {
         let epoch = update.to().epoch();
         if epoch < self.epoch && update.to() > Revision::default() {
             return true;
         }
         let restored = self.crosses_restore(&update);
         match update {
-            News::Changes { after, to, items } => {
+            StoreUpdate::Changes { after, to, items } => {
                 if after > self.revision || restored {
                     return false;
                 }
@@ -205,7 +205,7 @@
                 self.revision = self.revision.max(to);
                 self.use_pending();
             }
-            News::Everything { to, items } => {
+            StoreUpdate::Everything { to, items } => {
                 if restored {
                     // These durations without failures were observed on the store before its restore.
                     (self.reported_stability, self.last_read, self.unrecorded_restore) = (None, None, true);
@@ -220,12 +220,12 @@
     /// before the restore register again, as after an outage.
     fn record_restore(&mut self, now: Moment) {
         if std::mem::take(&mut self.unrecorded_restore) {
-            self.disturb(now);
+            self.record_store_failure(now);
         }
     }
 
     /// Whether an update shows the store after a restore that this copy hasn't observed yet.
-    fn crosses_restore(&self, update: &News) -> bool {
+    fn crosses_restore(&self, update: &StoreUpdate) -> bool {
         self.revision > 0 && update.to().epoch() > Revision::from(self.revision).epoch()
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Records that the store failed this router at `moment`.
-    pub fn disturb(&mut self, moment: Moment) {
+    pub fn record_store_failure(&mut self, moment: Moment) {
         self.last_store_failure = self.last_store_failure.max(Some(moment));
     }
 
@@ -255,17 +255,17 @@
         for item in released {
             self.insert(item);
         }
-        self.settle_lapses(self.stable_for(now)) || any
+        self.drop_expired(self.stable_for(now)) || any
     }
 
     /// Records a peer's report of how long the store hadn't failed the reader that the peer gets its updates from.
-    pub fn tell_stable(&mut self, now: Moment, stable: Duration) {
+    pub fn set_reported_stability(&mut self, now: Moment, stable: Duration) {
         self.reported_stability = Some((now, stable));
     }
 
     /// Drops expired upstreams if the store hasn't failed one of its readers for long enough. `stable` is that
     /// duration, `None` if it is unknown. Returns whether upstreams were dropped.
-    pub fn settle_lapses(&mut self, stable: Option<Duration>) -> bool {
+    pub fn drop_expired(&mut self, stable: Option<Duration>) -> bool {
         if self.expired.is_empty() || stable.is_none_or(|stable| stable < REREGISTRATION_GRACE) {
             return false;
         }
@@ -280,7 +280,7 @@
     }
 
     /// Returns the incarnations that replaced another one of the same name since the last call.
-    pub fn take_begun(&mut self) -> Vec<id::Upstream> {
+    pub fn take_new_incarnations(&mut self) -> Vec<id::Upstream> {
         std::mem::take(&mut self.new_incarnations)
     }
 
--- a/crates/stairvale-replica/src/view/lookups.rs
+++ b/crates/stairvale-replica/src/view/lookups.rs
@@ -46,7 +46,7 @@
     /// The current incarnation of an upstream's name, with the revision of its entry, included as by
     /// [`View::upstreams`].
     #[must_use]
-    pub fn written(&self, name: &id::Upstream) -> Option<(&Upstream, u64)> {
+    pub fn current_incarnation(&self, name: &id::Upstream) -> Option<(&Upstream, u64)> {
         let item = self.items.get(&Subject::Upstream(name.clone()));
         Some((self.current(name)?, item.map_or(0, |item| item.revision)))
     }
--- a/crates/stairvale-replica/src/written.rs
+++ b/crates/stairvale-replica/src/written.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 use stairvale_types::id;
 
-use crate::{Item, News, Subject, Upstream, Value, item::State};
+use crate::{Item, StoreUpdate, Subject, Upstream, Value, item::State};
 
 /// Why a decoded update is invalid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -63,12 +63,12 @@
 }
 
 impl<'a> Written<'a> {
-    fn new(update: &'a News) -> Self {
+    fn new(update: &'a StoreUpdate) -> Self {
         let (to, items) = match update {
-            News::Changes { after, to, items } => {
+            StoreUpdate::Changes { after, to, items } => {
                 return Self::Changes { after: *after, to: *to, items: Cow::Borrowed(items) };
             }
-            News::Everything { to, items } => (*to, items),
+            StoreUpdate::Everything { to, items } => (*to, items),
         };
         let mut names = NameTable::default();
         let (mut upstreams, mut others) = (Vec::with_capacity(items.len()), Vec::new());
@@ -95,7 +95,7 @@
     }
 }
 
-impl Serialize for News {
+impl Serialize for StoreUpdate {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         Written::new(self).serialize(serializer)
     }
@@ -111,7 +111,7 @@
     name.clone().ok_or(Error::InvalidName)
 }
 
-impl TryFrom<Written<'_>> for News {
+impl TryFrom<Written<'_>> for StoreUpdate {
     type Error = Error;
 
     fn try_from(encoded: Written<'_>) -> Result<Self, Error> {
--- a/crates/stairvale-replica/tests/restore.rs
+++ b/crates/stairvale-replica/tests/restore.rs
@@ -9,7 +9,7 @@
 };
 
 use quickcheck::quickcheck;
-use stairvale_replica::{Item, News, Revision, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, StoreUpdate, Revision, State, Subject, Upstream, Value, View};
 use stairvale_rollout::{Cause, Order, Record, Stage};
 use stairvale_table::Document;
 use stairvale_types::{Moment, id};
@@ -47,12 +47,12 @@
     item(name, revision(epoch, number), Some(State::Ready))
 }
 
-fn everything(epoch: u64, number: u64, items: Vec<Item>) -> News {
-    News::Everything { to: revision(epoch, number), items }
+fn everything(epoch: u64, number: u64, items: Vec<Item>) -> StoreUpdate {
+    StoreUpdate::Everything { to: revision(epoch, number), items }
 }
 
-fn changes(epoch: u64, after: u64, to: u64, items: Vec<Item>) -> News {
-    News::Changes { after: revision(epoch, after), to: revision(epoch, to), items }
+fn changes(epoch: u64, after: u64, to: u64, items: Vec<Item>) -> StoreUpdate {
+    StoreUpdate::Changes { after: revision(epoch, after), to: revision(epoch, to), items }
 }
 
 fn usable(view: &View, name: &str) -> bool {
@@ -78,10 +78,10 @@
 #[test]
 fn changes_after_a_restore_apply_whatever_their_number() {
     let mut view = View::default();
-    assert!(view.read(at(0), at(0), everything(1, 50, vec![ready("u1", 1, 50), configuration(1, 49, 3)])));
-    assert!(view.read(at(9), at(9), everything(2, 40, vec![ready("u1", 2, 30), configuration(2, 20, 3)])));
+    assert!(view.apply_read(at(0), at(0), everything(1, 50, vec![ready("u1", 1, 50), configuration(1, 49, 3)])));
+    assert!(view.apply_read(at(9), at(9), everything(2, 40, vec![ready("u1", 2, 30), configuration(2, 20, 3)])));
     let later = vec![item("u1", revision(2, 41), Some(State::Draining)), configuration(2, 42, 4)];
-    assert!(view.read(at(10), at(10), changes(2, 40, 42, later)));
+    assert!(view.apply_read(at(10), at(10), changes(2, 40, 42, later)));
     assert!(!usable(&view, "u1"));
     assert_eq!(view.document().unwrap().version, 4);
 }
@@ -91,19 +91,19 @@
 fn a_peer_of_an_earlier_epoch_is_sent_a_full_update() {
     let (mut reader, mut peer) = (View::default(), View::default());
     for view in [&mut reader, &mut peer] {
-        assert!(view.take(everything(1, 40, vec![ready("u1", 1, 5)])));
+        assert!(view.apply(everything(1, 40, vec![ready("u1", 1, 5)])));
     }
-    assert!(peer.take(changes(1, 40, 45, vec![ready("lost", 1, 45)])));
-    assert!(reader.read(at(1), at(1), everything(2, 42, vec![ready("u1", 2, 5)])));
-    assert!(reader.since(peer.revision()).is_some_and(|update| matches!(update, News::Everything { .. })));
-    assert!(!peer.take(changes(2, 42, 43, Vec::new())), "changes don't follow on an earlier epoch");
-    assert!(peer.take(reader.since(peer.revision()).unwrap()));
+    assert!(peer.apply(changes(1, 40, 45, vec![ready("lost", 1, 45)])));
+    assert!(reader.apply_read(at(1), at(1), everything(2, 42, vec![ready("u1", 2, 5)])));
+    assert!(reader.since(peer.revision()).is_some_and(|update| matches!(update, StoreUpdate::Everything { .. })));
+    assert!(!peer.apply(changes(2, 42, 43, Vec::new())), "changes don't follow on an earlier epoch");
+    assert!(peer.apply(reader.since(peer.revision()).unwrap()));
     assert_eq!(peer.revision(), reader.revision());
-    assert!(reader.take(peer.since(0).unwrap()), "and in the other direction");
+    assert!(reader.apply(peer.since(0).unwrap()), "and in the other direction");
     // Updates of the earlier epoch that arrive late are dropped.
-    assert!(peer.take(changes(1, 45, 60, vec![ready("late", 1, 60)])));
-    assert!(peer.take(everything(1, 70, vec![ready("late", 1, 60)])));
-    assert!(!peer.read(at(2), at(2), everything(1, 70, vec![ready("late", 1, 60)])));
+    assert!(peer.apply(changes(1, 45, 60, vec![ready("late", 1, 60)])));
+    assert!(peer.apply(everything(1, 70, vec![ready("late", 1, 60)])));
+    assert!(!peer.apply_read(at(2), at(2), everything(1, 70, vec![ready("late", 1, 60)])));
     assert!(!usable(&peer, "late"));
 }
 
@@ -112,20 +112,20 @@
 fn an_item_that_differs_only_in_its_revision_has_not_changed() {
     let mut view = View::default();
     let items = |epoch| vec![ready("u1", epoch, 5), ready("u2", epoch, 6), configuration(epoch, 4, 3)];
-    view.read(at(0), at(0), everything(1, 40, items(1)));
+    view.apply_read(at(0), at(0), everything(1, 40, items(1)));
     view.take_changed();
-    view.read(at(1), at(1), everything(2, 30, items(2)));
+    view.apply_read(at(1), at(1), everything(2, 30, items(2)));
     assert!(view.take_changed().is_empty());
-    assert_eq!(view.written(&"u1".parse().unwrap()).unwrap().1, revision(2, 5));
+    assert_eq!(view.current_incarnation(&"u1".parse().unwrap()).unwrap().1, revision(2, 5));
 }
 
 #[test]
 fn a_configuration_does_not_go_back_with_the_store() {
     let mut view = View::default();
-    view.read(at(0), at(0), everything(1, 40, vec![configuration(1, 40, 9)]));
-    view.read(at(1), at(1), everything(2, 30, vec![configuration(2, 20, 7)]));
+    view.apply_read(at(0), at(0), everything(1, 40, vec![configuration(1, 40, 9)]));
+    view.apply_read(at(1), at(1), everything(2, 30, vec![configuration(2, 20, 7)]));
     assert_eq!(view.document().unwrap().version, 9);
-    view.read(at(2), at(2), changes(2, 30, 31, vec![configuration(2, 31, 10)]));
+    view.apply_read(at(2), at(2), changes(2, 30, 31, vec![configuration(2, 31, 10)]));
     assert_eq!(view.document().unwrap().version, 10);
 }
 
@@ -133,11 +133,11 @@
 #[test]
 fn an_incarnation_that_ended_does_not_come_back_with_the_store() {
     let mut view = View::default();
-    view.read(at(0), at(0), everything(1, 3, vec![ready("leaves", 1, 1), ready("ends", 1, 2), ready("stays", 1, 3)]));
+    view.apply_read(at(0), at(0), everything(1, 3, vec![ready("leaves", 1, 1), ready("ends", 1, 2), ready("stays", 1, 3)]));
     let removals = vec![item("leaves", revision(1, 4), Some(State::Draining)), item("ends", revision(1, 5), None)];
-    view.read(at(9_000), at(9_000), changes(1, 3, 5, removals));
+    view.apply_read(at(9_000), at(9_000), changes(1, 3, 5, removals));
     let restored = vec![ready("leaves", 2, 1), ready("ends", 2, 2), ready("stays", 2, 3)];
-    view.read(at(9_100), at(9_100), everything(2, 3, restored));
+    view.apply_read(at(9_100), at(9_100), everything(2, 3, restored));
     view.tick(at(9_200));
     assert!(!usable(&view, "leaves") && !usable(&view, "ends") && usable(&view, "stays"));
     // A later incarnation of that name is another upstream.
@@ -145,7 +145,7 @@
     if let Some(Value::Upstream(upstream)) = &mut restarted.value {
         upstream.id = "leaves@8".parse().unwrap();
     }
-    view.read(at(9_300), at(9_300), changes(2, 3, 4, vec![restarted]));
+    view.apply_read(at(9_300), at(9_300), changes(2, 3, 4, vec![restarted]));
     assert!(view.is_usable(&"leaves@8".parse().unwrap()));
     // An entry that is renewed for this long belongs to a live upstream.
     assert!(!view.tick(at(9_300 + PAST_WITHHOLD_PERIOD_MS / 2)));
@@ -156,11 +156,11 @@
 #[test]
 fn an_incarnation_that_had_ended_and_registers_again_is_used_at_once() {
     let mut view = View::default();
-    view.read(at(0), at(0), everything(1, 3, vec![ready("u1", 1, 3)]));
-    view.read(at(9_000), at(9_000), changes(1, 3, 5, vec![item("u1", revision(1, 5), None)]));
-    view.read(at(9_100), at(9_100), everything(2, 3, vec![ready("u1", 2, 3)]));
+    view.apply_read(at(0), at(0), everything(1, 3, vec![ready("u1", 1, 3)]));
+    view.apply_read(at(9_000), at(9_000), changes(1, 3, 5, vec![item("u1", revision(1, 5), None)]));
+    view.apply_read(at(9_100), at(9_100), everything(2, 3, vec![ready("u1", 2, 3)]));
     assert!(!usable(&view, "u1"));
-    view.read(at(9_200), at(9_200), changes(2, 3, 6, vec![ready("u1", 2, 6)]));
+    view.apply_read(at(9_200), at(9_200), changes(2, 3, 6, vec![ready("u1", 2, 6)]));
     assert!(usable(&view, "u1"));
 }
 
@@ -168,22 +168,22 @@
 #[test]
 fn upstreams_that_a_restore_has_lost_are_kept_for_a_while() {
     let (mut reader, mut peer) = (View::default(), View::default());
-    reader.read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
-    peer.take(reader.since(0).unwrap());
+    reader.apply_read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
+    peer.apply(reader.since(0).unwrap());
     peer.confirm(at(10_000));
-    peer.tell_stable(at(10_000), Duration::from_secs(9));
-    reader.read(at(10_100), at(10_100), everything(2, 8, vec![ready("u1", 2, 8)]));
-    peer.take(reader.since(peer.revision()).unwrap());
+    peer.set_reported_stability(at(10_000), Duration::from_secs(9));
+    reader.apply_read(at(10_100), at(10_100), everything(2, 8, vec![ready("u1", 2, 8)]));
+    peer.apply(reader.since(peer.revision()).unwrap());
     for view in [&mut reader, &mut peer] {
         view.tick(at(10_200));
         assert!(usable(view, "lost") && usable(view, "u1"));
     }
     for now in (10_200..14_000).step_by(500) {
-        reader.read(at(now), at(now), changes(2, 8, 8, Vec::new()));
+        reader.apply_read(at(now), at(now), changes(2, 8, 8, Vec::new()));
         reader.tick(at(now));
     }
     assert!(!usable(&reader, "lost") && usable(&reader, "u1"));
-    assert!(peer.settle_lapses(reader.stable_for(at(14_000))));
+    assert!(peer.drop_expired(reader.stable_for(at(14_000))));
     assert!(!usable(&peer, "lost"));
 }
 
@@ -192,12 +192,12 @@
 #[test]
 fn a_reader_that_learns_of_a_restore_from_a_peer_keeps_lost_upstreams_too() {
     let mut view = View::default();
-    view.read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
-    view.take(everything(2, 8, vec![ready("u1", 2, 8)]));
-    view.read(at(10_100), at(10_100), changes(2, 8, 8, Vec::new()));
+    view.apply_read(at(10_000), at(10_000), everything(1, 9, vec![ready("u1", 1, 8), ready("lost", 1, 9)]));
+    view.apply(everything(2, 8, vec![ready("u1", 2, 8)]));
+    view.apply_read(at(10_100), at(10_100), changes(2, 8, 8, Vec::new()));
     view.tick(at(10_100));
     assert!(usable(&view, "lost"));
-    view.read(at(13_000), at(13_000), changes(2, 8, 8, Vec::new()));
+    view.apply_read(at(13_000), at(13_000), changes(2, 8, 8, Vec::new()));
     view.tick(at(13_000));
     assert!(!usable(&view, "lost"));
 }
@@ -206,10 +206,10 @@
 #[test]
 fn the_age_of_a_copy_is_that_of_its_own_epoch() {
     let mut view = View::default();
-    view.read(at(1_000), at(1_000), everything(1, 9, Vec::new()));
-    assert!(!view.read(at(5_000), at(4_900), everything(0, 90, Vec::new())), "of an earlier epoch");
+    view.apply_read(at(1_000), at(1_000), everything(1, 9, Vec::new()));
+    assert!(!view.apply_read(at(5_000), at(4_900), everything(0, 90, Vec::new())), "of an earlier epoch");
     assert_eq!(view.age(at(5_000)), Some(Duration::from_secs(4)));
-    view.read(at(6_000), at(5_900), everything(2, 3, Vec::new()));
+    view.apply_read(at(6_000), at(5_900), everything(2, 3, Vec::new()));
     assert_eq!(view.age(at(6_000)), Some(Duration::from_millis(100)));
 }
 
@@ -217,10 +217,10 @@
 fn an_empty_copy_gets_a_full_update_and_a_build_without_epochs_the_stores_own_numbers() {
     let mut view = View::default();
     assert_eq!(view.since(Revision::BEFORE_ALL.into()), None);
-    view.take(News::Everything { to: 9, items: Vec::new() });
+    view.apply(StoreUpdate::Everything { to: 9, items: Vec::new() });
     assert!(view.since(Revision::BEFORE_ALL.into()).is_some(), "also of a store without epochs");
-    view.read(at(1), at(1), everything(2, 4, vec![ready("u1", 2, 3)]));
-    let News::Everything { to, items } = view.since(0).unwrap().without_epochs() else {
+    view.apply_read(at(1), at(1), everything(2, 4, vec![ready("u1", 2, 3)]));
+    let StoreUpdate::Everything { to, items } = view.since(0).unwrap().without_epochs() else {
         panic!("not a full update");
     };
     assert_eq!((to, items[0].revision), (4, 3));
@@ -241,7 +241,7 @@
                 last.push(item);
             }
             last.retain(|item| item.value.is_some());
-            News::Everything { to: revision(epoch, history.len() as u64), items: last }
+            StoreUpdate::Everything { to: revision(epoch, history.len() as u64), items: last }
         };
         let fork = fork.checked_rem(before.len() + 1).unwrap_or(0);
         let second: Vec<_> = before[..fork].iter().copied().chain(after.iter().copied()).collect();
@@ -253,27 +253,27 @@
             match step % 3 {
                 0 => {
                     let shown = (usize::from(step) % (before.len() + 1)).max(1).min(before.len());
-                    views[to].read(at(now), at(now), contents(1, &before[..shown]));
+                    views[to].apply_read(at(now), at(now), contents(1, &before[..shown]));
                 }
                 1 => {
                     let shown = fork.max(usize::from(step) % (second.len() + 1));
-                    views[to].read(at(now), at(now), contents(2, &second[..shown]));
+                    views[to].apply_read(at(now), at(now), contents(2, &second[..shown]));
                 }
                 _ => {
                     if let Some(update) = views[from].since(views[to].revision()) {
-                        views[to].take(update);
+                        views[to].apply(update);
                     }
                 }
             }
         }
         let last = contents(2, &second);
-        views[0].read(at(now + 10), at(now + 10), last.clone());
-        let News::Everything { items, .. } = &last else { return false };
+        views[0].apply_read(at(now + 10), at(now + 10), last.clone());
+        let StoreUpdate::Everything { items, .. } = &last else { return false };
         let expected: BTreeSet<_> = items.iter().map(|item| format!("{:?}", item.subject)).collect();
         let (reader, others) = views.split_first_mut().unwrap();
         for view in others.iter_mut() {
             if let Some(update) = reader.since(view.revision()) {
-                view.take(update);
+                view.apply(update);
             }
         }
         views.iter().all(|view| {
@@ -320,9 +320,9 @@
     ];
     for (restored_record, expected, number) in restored {
         let mut view = View::default();
-        view.read(at(0), at(0), everything(1, 8, vec![order(1, 3), record(1, 8, 3, failing, 20)]));
+        view.apply_read(at(0), at(0), everything(1, 8, vec![order(1, 3), record(1, 8, 3, failing, 20)]));
         let items = restored_record.into_iter().chain([order(2, 3)]).collect();
-        view.read(at(1), at(1), everything(2, 9, items));
+        view.apply_read(at(1), at(1), everything(2, 9, items));
         let (record_revision, kept) = view.rollout(&service).unwrap();
         assert_eq!((kept.stage, kept.granted), expected);
         assert_eq!((kept.order, record_revision), (revision(2, 3), revision(2, number)));
@@ -335,17 +335,17 @@
 #[test]
 fn a_copy_that_began_with_a_stale_read_is_sent_completely_and_only_with_its_epoch() {
     let mut view = View::default();
-    assert!(view.take(everything(2, 0, vec![configuration(2, 0, 3), ready("u1", 2, 0)])));
-    assert!(view.read(at(0), at(0), everything(2, 9, vec![configuration(2, 7, 3), ready("u1", 2, 8)])));
+    assert!(view.apply(everything(2, 0, vec![configuration(2, 0, 3), ready("u1", 2, 0)])));
+    assert!(view.apply_read(at(0), at(0), everything(2, 9, vec![configuration(2, 7, 3), ready("u1", 2, 8)])));
     let mut earlier_build = View::default();
-    assert!(earlier_build.take(view.since(0).unwrap().without_epochs()));
+    assert!(earlier_build.apply(view.since(0).unwrap().without_epochs()));
     assert_eq!(earlier_build.document().unwrap().version, 3);
     assert!(usable(&earlier_build, "u1"));
     let mut started = View::default();
-    assert!(started.take(News::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }), "the items of a stale read");
-    assert!(started.take(view.since(0).unwrap().without_epochs()));
+    assert!(started.apply(StoreUpdate::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }), "the items of a stale read");
+    assert!(started.apply(view.since(0).unwrap().without_epochs()));
     assert_eq!(started.revision(), 0, "of an unknown epoch");
-    assert!(started.take(view.since(0).unwrap()));
+    assert!(started.apply(view.since(0).unwrap()));
     assert_eq!(started.revision(), view.revision());
 }
 
--- a/crates/stairvale-replica/tests/rollouts.rs
+++ b/crates/stairvale-replica/tests/rollouts.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use quickcheck::quickcheck;
-use stairvale_replica::{Item, News, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, StoreUpdate, State, Subject, Upstream, Value, View};
 use stairvale_rollout::{Cause, Order, Record, Stage};
 use stairvale_types::{Moment, id};
 
@@ -55,15 +55,15 @@
     view.is_usable(&name.parse().unwrap())
 }
 
-fn read(view: &mut View, update: News) {
+fn read(view: &mut View, update: StoreUpdate) {
     let revision = view.revision();
     let now = Moment::from_millis(revision + 1);
-    assert!(view.read(now, now, update));
+    assert!(view.apply_read(now, now, update));
 }
 
-fn changes(view: &View, items: Vec<Item>) -> News {
+fn changes(view: &View, items: Vec<Item>) -> StoreUpdate {
     let to = items.iter().map(|item| item.revision).max().unwrap_or(0).max(view.revision());
-    News::Changes { after: view.revision(), to, items }
+    StoreUpdate::Changes { after: view.revision(), to, items }
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let mut view = View::default();
     // The pages of a full read aren't a snapshot: the first was read at revision 10 and has the orders, the last was
     // read later and has u2.
-    read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 3, "v1"), upstream("u2", 12, "v2")] });
+    read(&mut view, StoreUpdate::Everything { to: 10, items: vec![upstream("u1", 3, "v1"), upstream("u2", 12, "v2")] });
     assert!(usable(&view, "u1") && !usable(&view, "u2"));
     assert_eq!(view.upstreams().count(), 1);
     assert!(view.upstream(&"u2".parse().unwrap()).is_none());
@@ -91,28 +91,28 @@
 #[test]
 fn an_unrelated_update_puts_a_pending_upstream_into_use() {
     let mut view = View::default();
-    read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
+    read(&mut view, StoreUpdate::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
     assert!(!usable(&view, "u1"));
-    read(&mut view, News::Changes { after: 10, to: 13, items: Vec::new() });
+    read(&mut view, StoreUpdate::Changes { after: 10, to: 13, items: Vec::new() });
     assert!(usable(&view, "u1"));
 }
 
 #[test]
 fn an_upstream_in_use_stays_in_use_when_its_entry_changes() {
     let mut view = View::default();
-    read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 3, "v1")] });
-    read(&mut view, News::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
+    read(&mut view, StoreUpdate::Everything { to: 10, items: vec![upstream("u1", 3, "v1")] });
+    read(&mut view, StoreUpdate::Everything { to: 10, items: vec![upstream("u1", 12, "v1")] });
     assert!(usable(&view, "u1"), "an incarnation has one version");
     // An entry that was removed and is written again may have another version.
-    assert!(view.take(News::Changes {
+    assert!(view.apply(StoreUpdate::Changes {
         after: 10,
         to: 13,
         items: vec![Item::new(Subject::Upstream("u1".parse().unwrap()), 13, None)]
     }));
     assert!(!usable(&view, "u1"));
-    assert!(view.take(News::Everything { to: 12, items: vec![upstream("u1", 15, "v2")] }));
+    assert!(view.apply(StoreUpdate::Everything { to: 12, items: vec![upstream("u1", 15, "v2")] }));
     assert!(!usable(&view, "u1"));
-    assert!(view.take(News::Changes { after: 13, to: 15, items: Vec::new() }));
+    assert!(view.apply(StoreUpdate::Changes { after: 13, to: 15, items: Vec::new() }));
     assert!(usable(&view, "u1"));
 }
 
@@ -149,12 +149,12 @@
     read(&mut view, update);
     assert!(!usable(&view, "u2"));
     let old = vec![order(2, "v2"), record(5, 2, "v2", Stage::Moving), upstream("u2", 3, "v2")];
-    assert!(view.take(News::Changes { after: 2, to: 5, items: old.clone() }));
-    assert!(view.take(News::Everything { to: 5, items: old }));
+    assert!(view.apply(StoreUpdate::Changes { after: 2, to: 5, items: old.clone() }));
+    assert!(view.apply(StoreUpdate::Everything { to: 5, items: old }));
     assert!(!usable(&view, "u2"));
     assert_eq!(view.rollout(&chat()).unwrap().0, 9);
     // An older full update without the record changes nothing either.
-    assert!(view.take(News::Everything { to: 4, items: vec![order(2, "v2")] }));
+    assert!(view.apply(StoreUpdate::Everything { to: 4, items: vec![order(2, "v2")] }));
     assert_eq!(view.rollout(&chat()).unwrap().0, 9);
     assert_eq!(view.rollouts().collect::<std::collections::BTreeSet<_>>().len(), 1);
 }
@@ -168,7 +168,7 @@
     let update = changes(&view, vec![upstream("u1", 1, "v1"), order(2, "v2"), upstream("u2", 3, "v2"), rolled_back]);
     read(&mut view, update);
     let items = vec![upstream("u1", 1, "v1"), upstream("u2", 3, "v2")];
-    read(&mut view, News::Everything { to: 20, items });
+    read(&mut view, StoreUpdate::Everything { to: 20, items });
     assert!(usable(&view, "u1") && !usable(&view, "u2"));
     assert_eq!(view.rollout(&chat()).unwrap().0, 9);
 }
@@ -191,10 +191,10 @@
                     let at = if matches!(item.subject, Subject::Upstream(_)) { to } else { from };
                     item.revision <= at
                 };
-                view.take(News::Everything { to: from.min(to), items: history.iter().filter(held).cloned().collect() });
+                view.apply(StoreUpdate::Everything { to: from.min(to), items: history.iter().filter(held).cloned().collect() });
             } else {
                 let items = history.iter().filter(|item| item.revision > from && item.revision <= to.max(from));
-                view.take(News::Changes { after: from, to: to.max(from), items: items.cloned().collect() });
+                view.apply(StoreUpdate::Changes { after: from, to: to.max(from), items: items.cloned().collect() });
             }
             let ordered = view.order(&chat()).is_some();
             let over = view.policy(&chat()).is_some_and(|policy| policy.stage.is_over());
--- a/crates/stairvale-replica/tests/view.rs
+++ b/crates/stairvale-replica/tests/view.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use stairvale_replica::{Item, News, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, StoreUpdate, State, Subject, Upstream, Value, View};
 use stairvale_table::Document;
 use stairvale_types::{Moment, id};
 
@@ -42,28 +42,28 @@
     let mut view = View::default();
     let id = |name: &str| name.parse::<id::Upstream>().unwrap();
     let ready = |name, revision| item(name, revision, Some(State::Ready));
-    assert!(view.read(at(0), at(0), changes(0, vec![ready("u1", 1), ready("u2", 2)])));
-    view.disturb(at(10));
-    assert!(view.read(at(20), at(15), changes(2, vec![item("u1", 3, None)])));
+    assert!(view.apply_read(at(0), at(0), changes(0, vec![ready("u1", 1), ready("u2", 2)])));
+    view.record_store_failure(at(10));
+    assert!(view.apply_read(at(20), at(15), changes(2, vec![item("u1", 3, None)])));
     assert!(view.is_usable(&id("u1")) && view.is_usable(&id("u2")));
-    assert!(view.take(changes(3, vec![evacuation(4, true)])));
+    assert!(view.apply(changes(3, vec![evacuation(4, true)])));
     assert!(!view.is_usable(&id("u1")) && !view.is_usable(&id("u2")));
     assert_eq!(view.evacuated().count(), 1);
     // An older incremental or full update doesn't undo the evacuation.
-    assert!(view.take(News::Everything { to: 3, items: vec![ready("u2", 2)] }));
+    assert!(view.apply(StoreUpdate::Everything { to: 3, items: vec![ready("u2", 2)] }));
     assert!(!view.is_usable(&id("u2")));
     // The store has compacted its history, and the evacuation was ended in the meantime.
-    assert!(view.take(News::Everything { to: 9, items: vec![ready("u2", 2)] }));
+    assert!(view.apply(StoreUpdate::Everything { to: 9, items: vec![ready("u2", 2)] }));
     assert!(view.is_usable(&id("u2")));
-    assert!(view.take(changes(9, vec![evacuation(10, true)])));
+    assert!(view.apply(changes(9, vec![evacuation(10, true)])));
     assert!(!view.is_usable(&id("u2")));
-    assert!(view.take(changes(10, vec![evacuation(11, false)])));
+    assert!(view.apply(changes(10, vec![evacuation(11, false)])));
     assert!(view.is_usable(&id("u2")));
 }
 
-fn changes(after: u64, items: Vec<Item>) -> News {
+fn changes(after: u64, items: Vec<Item>) -> StoreUpdate {
     let to = items.iter().map(|item| item.revision).max().unwrap_or(after);
-    News::Changes { after, to, items }
+    StoreUpdate::Changes { after, to, items }
 }
 
 fn at(millis: u64) -> Moment {
@@ -77,27 +77,27 @@
 #[test]
 fn a_lower_version_never_replaces_a_higher_one() {
     let mut view = View::default();
-    assert!(view.take(News::Everything { to: 5, items: vec![configuration(7, 5)] }));
-    assert!(view.take(changes(5, vec![configuration(3, 6)])));
+    assert!(view.apply(StoreUpdate::Everything { to: 5, items: vec![configuration(7, 5)] }));
+    assert!(view.apply(changes(5, vec![configuration(3, 6)])));
     assert_eq!(view.document().unwrap().version, 7);
     // A full update without the configuration is incomplete; it doesn't remove the configuration.
-    assert!(view.take(News::Everything { to: 9, items: Vec::new() }));
+    assert!(view.apply(StoreUpdate::Everything { to: 9, items: Vec::new() }));
     assert_eq!(view.document().unwrap().version, 7);
 }
 
 #[test]
 fn changes_that_leave_a_gap_are_rejected() {
     let mut view = View::default();
-    assert!(view.take(changes(0, vec![item("e1", 3, Some(State::Ready))])));
-    assert!(!view.take(changes(4, vec![item("e2", 5, Some(State::Ready))])));
+    assert!(view.apply(changes(0, vec![item("e1", 3, Some(State::Ready))])));
+    assert!(!view.apply(changes(4, vec![item("e2", 5, Some(State::Ready))])));
     assert_eq!(view.revision(), 3);
 }
 
 #[test]
 fn an_entry_that_is_removed_while_the_store_works_is_gone() {
     let mut view = View::default();
-    view.take(changes(0, vec![item("e1", 1, Some(State::Ready))]));
-    view.take(changes(1, vec![item("e1", 2, None)]));
+    view.apply(changes(0, vec![item("e1", 1, Some(State::Ready))]));
+    view.apply(changes(1, vec![item("e1", 2, None)]));
     assert!(!usable(&view, "e1"));
 }
 
@@ -105,14 +105,14 @@
 fn an_entry_that_expires_with_the_store_is_dropped_unless_it_registers_again() {
     let mut view = View::default();
     let first = changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Draining))]);
-    view.read(at(0), at(0), first);
-    view.disturb(at(1_000));
-    view.read(at(1_100), at(1_100), changes(2, vec![item("e1", 3, None), item("e2", 4, None)]));
+    view.apply_read(at(0), at(0), first);
+    view.record_store_failure(at(1_000));
+    view.apply_read(at(1_100), at(1_100), changes(2, vec![item("e1", 3, None), item("e2", 4, None)]));
     assert!(usable(&view, "e1"), "the store was failing, so the removal is inconclusive");
     assert!(!usable(&view, "e2"), "it was draining before");
-    view.read(at(2_000), at(2_000), changes(4, Vec::new()));
+    view.apply_read(at(2_000), at(2_000), changes(4, Vec::new()));
     assert!(!view.tick(at(2_000)));
-    view.read(at(4_000), at(4_000), changes(4, Vec::new()));
+    view.apply_read(at(4_000), at(4_000), changes(4, Vec::new()));
     assert!(view.tick(at(4_000)), "the store has worked again for long enough");
     assert!(!usable(&view, "e1"));
 }
@@ -121,37 +121,37 @@
 fn a_removal_read_without_store_failures_is_conclusive_for_all() {
     let (mut failed, mut stable) = (View::default(), View::default());
     for view in [&mut failed, &mut stable] {
-        view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
+        view.apply_read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
     }
-    failed.disturb(at(5_000));
-    stable.read(at(5_100), at(5_100), changes(1, vec![item("e1", 2, None)]));
+    failed.record_store_failure(at(5_000));
+    stable.apply_read(at(5_100), at(5_100), changes(1, vec![item("e1", 2, None)]));
     assert!(!usable(&stable, "e1"), "a failure that another router observed doesn't make this removal inconclusive");
     // An update from the router that the store didn't fail is conclusive, also at the router that it failed.
-    assert!(failed.take(stable.since(1).unwrap()));
+    assert!(failed.apply(stable.since(1).unwrap()));
     assert!(!usable(&failed, "e1"));
 }
 
 #[test]
 fn a_reader_with_a_stable_store_makes_peers_drop_expired_upstreams() {
     let mut view = View::default();
-    view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
-    view.disturb(at(100));
-    view.read(at(200), at(200), changes(1, vec![item("e1", 2, None)]));
-    assert!(!view.settle_lapses(None), "a router that doesn't read the store can't decide");
-    assert!(!view.settle_lapses(Some(Duration::from_millis(500))));
+    view.apply_read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
+    view.record_store_failure(at(100));
+    view.apply_read(at(200), at(200), changes(1, vec![item("e1", 2, None)]));
+    assert!(!view.drop_expired(None), "a router that doesn't read the store can't decide");
+    assert!(!view.drop_expired(Some(Duration::from_millis(500))));
     assert!(usable(&view, "e1"));
-    assert!(view.settle_lapses(Some(Duration::from_secs(9))));
+    assert!(view.drop_expired(Some(Duration::from_secs(9))));
     assert!(!usable(&view, "e1"));
 }
 
 #[test]
 fn an_entry_that_registers_again_replaces_its_expired_one() {
     let mut view = View::default();
-    view.read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
-    view.disturb(at(100));
-    view.read(at(200), at(200), changes(1, vec![item("e1", 2, None)]));
-    view.read(at(900), at(900), changes(2, vec![item("e1", 3, Some(State::Ready))]));
-    view.read(at(9_000), at(9_000), changes(3, Vec::new()));
+    view.apply_read(at(0), at(0), changes(0, vec![item("e1", 1, Some(State::Ready))]));
+    view.record_store_failure(at(100));
+    view.apply_read(at(200), at(200), changes(1, vec![item("e1", 2, None)]));
+    view.apply_read(at(900), at(900), changes(2, vec![item("e1", 3, Some(State::Ready))]));
+    view.apply_read(at(9_000), at(9_000), changes(3, Vec::new()));
     view.tick(at(9_000));
     assert!(usable(&view, "e1"));
     assert_eq!(view.upstreams().count(), 1);
@@ -160,12 +160,12 @@
 #[test]
 fn a_full_update_removes_items_that_it_does_not_contain() {
     let mut view = View::default();
-    view.take(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
-    view.take(News::Everything { to: 9, items: vec![item("e2", 2, Some(State::Ready))] });
+    view.apply(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
+    view.apply(StoreUpdate::Everything { to: 9, items: vec![item("e2", 2, Some(State::Ready))] });
     assert!(!usable(&view, "e1"));
     assert!(usable(&view, "e2"));
     // An older full update that arrives late brings nothing back.
-    view.take(News::Everything { to: 1, items: vec![item("e1", 1, Some(State::Ready))] });
+    view.apply(StoreUpdate::Everything { to: 1, items: vec![item("e1", 1, Some(State::Ready))] });
     assert!(!usable(&view, "e1"));
 }
 
@@ -217,23 +217,23 @@
     for number in 0..30_000_u64 {
         let name = format!("e{number}");
         let items = vec![item(&name, 2 * number + 1, Some(State::Ready)), item(&name, 2 * number + 2, None)];
-        assert!(view.take(changes(2 * number, items)));
+        assert!(view.apply(changes(2 * number, items)));
         view.take_changed();
     }
     assert!(view.retained_entries() < 10_000, "{}", view.retained_entries());
     // An old update from a peer contains one of the removed upstreams.
-    let old = News::Everything { to: 50, items: vec![item("e2", 5, Some(State::Ready))] };
-    assert!(view.take(old));
+    let old = StoreUpdate::Everything { to: 50, items: vec![item("e2", 5, Some(State::Ready))] };
+    assert!(view.apply(old));
     assert_eq!(view.upstreams().count(), 0);
 }
 
 #[test]
 fn each_change_is_reported_once() {
     let mut view = View::default();
-    view.take(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
+    view.apply(changes(0, vec![item("e1", 1, Some(State::Ready)), item("e2", 2, Some(State::Ready))]));
     assert_eq!(view.take_changed().len(), 2);
     assert_eq!(view.take_changed().len(), 0);
-    view.take(changes(2, vec![item("e2", 3, None), item("e1", 1, Some(State::Ready))]));
+    view.apply(changes(2, vec![item("e2", 3, None), item("e1", 1, Some(State::Ready))]));
     assert_eq!(view.take_changed().into_iter().collect::<Vec<_>>(), [Subject::Upstream("e2".parse().unwrap())]);
 }
 
@@ -244,10 +244,10 @@
         let lag = if items.is_empty() { 0 } else { lag % items.len() };
         let (mut ahead, mut behind) = (View::default(), View::default());
         for (after, one) in items.iter().enumerate() {
-            ahead.take(changes(after as u64, vec![one.clone()]));
+            ahead.apply(changes(after as u64, vec![one.clone()]));
         }
-        behind.take(changes(0, items[..lag].to_vec()));
-        if let Some(update) = ahead.since(behind.revision()) && !behind.take(update) {
+        behind.apply(changes(0, items[..lag].to_vec()));
+        if let Some(update) = ahead.since(behind.revision()) && !behind.apply(update) {
             return false;
         }
         let names = ["e0", "e1", "e2", "e3"];
@@ -260,11 +260,11 @@
         let mut view = View::default();
         for index in shuffle {
             if !items.is_empty() {
-                view.take(changes(0, vec![items[usize::from(index) % items.len()].clone()]));
+                view.apply(changes(0, vec![items[usize::from(index) % items.len()].clone()]));
             }
         }
         for one in items.iter().rev() {
-            view.take(changes(0, vec![one.clone()]));
+            view.apply(changes(0, vec![one.clone()]));
         }
         (0..4).all(|which| {
             let name = format!("e{which}");
@@ -276,7 +276,7 @@
 }
 
 /// A full update with this many upstreams of a few services and zones, beside a configuration.
-fn full_update(upstreams: usize) -> News {
+fn full_update(upstreams: usize) -> StoreUpdate {
     let zones = ["north-a", "north-b", "south-a"];
     let upstream_items = (0..upstreams).map(|number| {
         let name = format!("i-{number:010x}");
@@ -294,7 +294,7 @@
         Item { sure: number % 11 > 0, ..Item::new(Subject::Upstream(id), number as u64 + 10, Some(value)) }
     });
     let items = [configuration(3, 7), evacuation(8, true)].into_iter().chain(upstream_items).collect();
-    News::Everything { to: 90_000, items }
+    StoreUpdate::Everything { to: 90_000, items }
 }
 
 #[test]
@@ -302,8 +302,8 @@
     for upstreams in [0, 1, 100, 3_000] {
         let update = full_update(upstreams);
         let bytes = stairvale_wire::codec::pack(&update).unwrap();
-        assert_eq!(stairvale_wire::codec::unpack::<News>(&bytes).unwrap(), update);
-        let News::Everything { items, .. } = &update else { unreachable!() };
+        assert_eq!(stairvale_wire::codec::unpack::<StoreUpdate>(&bytes).unwrap(), update);
+        let StoreUpdate::Everything { items, .. } = &update else { unreachable!() };
         let apart = stairvale_wire::codec::pack(items).unwrap().len();
         let sizes = format!("{} bytes for {upstreams} upstreams, {apart} one by one", bytes.len());
         assert!(bytes.len() < 200 + upstreams * 36, "{sizes}");
@@ -319,8 +319,8 @@
             let other = bytes.get(at).copied().unwrap_or_default();
             if at % 13 == cut % 13 { *byte ^ other } else { *byte }
         }).collect();
-        let _ = stairvale_wire::codec::unpack::<News>(&corrupted);
-        let _ = stairvale_wire::codec::unpack::<News>(&bytes);
+        let _ = stairvale_wire::codec::unpack::<StoreUpdate>(&corrupted);
+        let _ = stairvale_wire::codec::unpack::<StoreUpdate>(&bytes);
         true
     }
 }
@@ -333,18 +333,18 @@
         Item::new(Subject::Upstream("e0".parse().unwrap()), revision, Some(value))
     };
     let mut view = View::default();
-    view.take(News::Everything { to: 5, items: vec![entry(5, 2_000)] });
+    view.apply(StoreUpdate::Everything { to: 5, items: vec![entry(5, 2_000)] });
     let (previous, current) = ("e0@1000".parse().unwrap(), "e0@2000".parse().unwrap());
     assert!(view.is_usable(&current) && !view.is_usable(&previous) && !view.is_usable(&"e0".parse().unwrap()));
     // An older update, as from a router that was partitioned, doesn't bring the earlier incarnation back.
-    view.take(News::Changes { after: 3, to: 4, items: vec![entry(4, 1_000)] });
+    view.apply(StoreUpdate::Changes { after: 3, to: 4, items: vec![entry(4, 1_000)] });
     assert!(view.is_usable(&current) && !view.is_usable(&previous));
     // An expired entry no longer keeps its incarnation in use once the next incarnation registers.
-    view.disturb(Moment::from_millis(10));
+    view.record_store_failure(Moment::from_millis(10));
     let gone = Item { sure: false, ..Item::new(Subject::Upstream("e0".parse().unwrap()), 6, None) };
-    view.take(News::Changes { after: 5, to: 6, items: vec![gone] });
+    view.apply(StoreUpdate::Changes { after: 5, to: 6, items: vec![gone] });
     assert!(view.is_usable(&current), "it may register again");
-    view.take(News::Changes { after: 6, to: 7, items: vec![entry(7, 3_000)] });
+    view.apply(StoreUpdate::Changes { after: 6, to: 7, items: vec![entry(7, 3_000)] });
     assert!(!view.is_usable(&current) && view.is_usable(&"e0@3000".parse().unwrap()));
 }
 
@@ -379,26 +379,26 @@
     const CHANGED: u64 = 2_000;
     let mut view = View::default();
     let items = (1..=KNOWN).map(|number| item(&format!("u{number}"), number, Some(State::Ready))).collect();
-    assert!(view.take(News::Changes { after: 0, to: KNOWN, items }));
+    assert!(view.apply(StoreUpdate::Changes { after: 0, to: KNOWN, items }));
     let mut lagging = View::default();
-    assert!(lagging.take(view.since(0).unwrap()));
+    assert!(lagging.apply(view.since(0).unwrap()));
     for number in 1..=CHANGED {
         let state = (number % 3 != 0).then_some(State::Draining);
         let revision = KNOWN + number;
         let items = vec![item(&format!("u{number}"), revision, state)];
-        assert!(view.take(News::Changes { after: revision - 1, to: revision, items }));
+        assert!(view.apply(StoreUpdate::Changes { after: revision - 1, to: revision, items }));
     }
     let update = view.since(lagging.revision()).unwrap();
-    let News::Changes { items, .. } = &update else {
+    let StoreUpdate::Changes { items, .. } = &update else {
         panic!("a full update was sent");
     };
     assert_eq!(items.len() as u64, CHANGED);
-    assert!(lagging.take(update));
+    assert!(lagging.apply(update));
     let upstreams =
         |view: &View| view.upstreams().map(|(upstream, revision)| (upstream.clone(), revision)).collect::<Vec<_>>();
     assert_eq!(upstreams(&lagging), upstreams(&view));
     // Below the revision that this copy began with, it can't distinguish removed items from ones that never existed, so
     // it sends a full update.
-    assert!(matches!(lagging.since(KNOWN - 1), Some(News::Everything { .. })));
-    assert!(matches!(lagging.since(KNOWN), Some(News::Changes { .. })));
+    assert!(matches!(lagging.since(KNOWN - 1), Some(StoreUpdate::Everything { .. })));
+    assert!(matches!(lagging.since(KNOWN), Some(StoreUpdate::Changes { .. })));
 }
--- a/crates/stairvale-serve/src/core/epochs.rs
+++ b/crates/stairvale-serve/src/core/epochs.rs
@@ -3,7 +3,7 @@
 //! Such a build orders changes by the store's own numbers, so it is sent these. What it sends of the store is ignored
 //! once this router has read an epoch itself, since nothing shows which epoch it belongs to.
 
-use stairvale_replica::{News, Revision};
+use stairvale_replica::{StoreUpdate, Revision};
 use stairvale_rollout::{Write, Written};
 use stairvale_types::id;
 
@@ -59,7 +59,7 @@
     }
 
     /// Sends changes to some peers, to each in the form that it supports.
-    pub(super) fn news_frames(&self, to: Vec<Peer>, news: News) -> Vec<Effect> {
+    pub(super) fn news_frames(&self, to: Vec<Peer>, news: StoreUpdate) -> Vec<Effect> {
         let (aware, unaware): (Vec<_>, Vec<_>) = to.into_iter().partition(|(peer, _)| self.knows_epochs(peer));
         let mut effects = Vec::new();
         if !unaware.is_empty() {
--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use stairvale_placement::{mix, pick};
-use stairvale_replica::{Item, News, Revision};
+use stairvale_replica::{Item, StoreUpdate, Revision};
 use stairvale_types::{Moment, id};
 use stairvale_wire::Member;
 
@@ -91,7 +91,7 @@
     /// Handles a stale read of the registrations of routers.
     pub fn read_names(&mut self, now: Moment, items: Vec<Item>) -> Vec<Effect> {
         self.registrations_read_at = Some(now);
-        if !self.view.take(News::Changes { after: 0, to: 0, items }) {
+        if !self.view.apply(StoreUpdate::Changes { after: 0, to: 0, items }) {
             return Vec::new();
         }
         let mut effects = self.apply_view(now);
@@ -222,12 +222,12 @@
         let news = after.and_then(|after| self.view.since(after));
         let has_copy = after.is_some_and(|after| Revision::from(after).number() > 0);
         let news =
-            news.filter(|news| matches!(news, News::Changes { .. }) || !has_copy || self.may_send_snapshot(now, from));
+            news.filter(|news| matches!(news, StoreUpdate::Changes { .. }) || !has_copy || self.may_send_snapshot(now, from));
         let lacks_members = sync.routers.is_some_and(|known| known + known / MISSING_MEMBERS_DIVISOR < self.routers());
         let (news, revision) = if self.knows_epochs(from) {
             (news, self.view.revision())
         } else {
-            (news.map(News::without_epochs), Revision::from(self.view.revision()).number())
+            (news.map(StoreUpdate::without_epochs), Revision::from(self.view.revision()).number())
         };
         let frame = Frame::Synced {
             number: sync.number,
@@ -236,7 +236,7 @@
             calm: self.view.stable_for(now),
             news,
             knows_fleet: self.knows_fleet(now),
-            members: if lacks_members { self.swim.told() } else { Vec::new() },
+            members: if lacks_members { self.swim.live_members() } else { Vec::new() },
         };
         self.send(from, frame)
     }
@@ -270,7 +270,7 @@
         age: Option<Duration>,
         revision: u64,
         stable_for: Option<Duration>,
-        news: Option<News>,
+        news: Option<StoreUpdate>,
     ) -> Vec<Effect> {
         let Some(sent_at) = self.pending_syncs.get(&number).copied() else {
             return Vec::new();
@@ -288,7 +288,7 @@
         let confirmed = self.view.is_confirmed();
         let mut changed = false;
         if let Some(news) = news {
-            if !self.view.take(news) {
+            if !self.view.apply(news) {
                 return Vec::new();
             }
             changed = true;
@@ -297,9 +297,9 @@
         // behind, and not if it is ahead and didn't send the changes.
         if revision == self.view.revision() {
             if let Some(stable_for) = stable_for {
-                self.view.tell_stable(now, stable_for);
+                self.view.set_reported_stability(now, stable_for);
             }
-            changed |= self.view.settle_lapses(stable_for);
+            changed |= self.view.drop_expired(stable_for);
             if let Some(age) = age {
                 self.view.confirm_by_peer(sent_at, age);
             }
--- a/crates/stairvale-serve/src/core/knowledge.rs
+++ b/crates/stairvale-serve/src/core/knowledge.rs
@@ -42,7 +42,7 @@
         }
         self.update_roles(now);
         self.apply_quarantine_changes(now, &changed);
-        effects.extend(self.view.take_begun().into_iter().map(Effect::Begun));
+        effects.extend(self.view.take_new_incarnations().into_iter().map(Effect::Begun));
         effects.extend(self.end_replaced_upstreams(&changed));
         effects.extend(self.answer_deferred_syncs(now));
         // Roll-outs are applied before upstreams, so that an upstream that appears together with an order gets no
@@ -136,7 +136,7 @@
             let Subject::Upstream(id) = subject else {
                 continue;
             };
-            match self.view.written(id) {
+            match self.view.current_incarnation(id) {
                 Some((upstream, revision)) => {
                     listings.entry(upstream.service.clone()).or_default().push(self.listing(upstream, revision));
                 }
@@ -157,7 +157,7 @@
         let mut effects = Vec::new();
         for subject in changed {
             if let Subject::Upstream(name) = subject
-                && let Some((current, _)) = self.view.written(name)
+                && let Some((current, _)) = self.view.current_incarnation(name)
             {
                 let is_replaced = |id: &id::Upstream| id != &current.id && id.name() == *name;
                 let running = self.running.values().filter(|running| is_replaced(&running.held.upstream));
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -11,7 +11,7 @@
 
 use stairvale_dispatch::{Held, Pool, SentPrefixes, RetryWindow};
 use stairvale_membership::{Swim, swim};
-use stairvale_replica::{News, Upstream, View};
+use stairvale_replica::{StoreUpdate, Upstream, View};
 use stairvale_table::Table;
 use stairvale_types::{Moment, id};
 use stairvale_wire::{Member, Packet};
@@ -293,11 +293,11 @@
     // Reads of the store.
 
     /// Handles a read of the store: `news` is the result of a call that was made at `asked`.
-    pub fn read(&mut self, now: Moment, asked: Moment, news: News) -> Vec<Effect> {
+    pub fn read(&mut self, now: Moment, asked: Moment, news: StoreUpdate) -> Vec<Effect> {
         self.update_roles(now);
         self.check_update_source(now);
         let before = self.view.revision();
-        if !self.view.read(now, asked, news) {
+        if !self.view.apply_read(now, asked, news) {
             return Vec::new();
         }
         let mut effects = self.apply_view(now);
@@ -307,8 +307,8 @@
 
     /// Handles a stale read of the store, whose result may be seconds old. It is enough to start with; peers or a
     /// later call bring the copy up to date.
-    pub fn read_stale(&mut self, now: Moment, news: News) -> Vec<Effect> {
-        if !self.view.take(news) {
+    pub fn read_stale(&mut self, now: Moment, news: StoreUpdate) -> Vec<Effect> {
+        if !self.view.apply(news) {
             return Vec::new();
         }
         let mut effects = self.apply_view(now);
@@ -318,7 +318,7 @@
 
     /// Records that a call of this router to the store failed.
     pub fn disturbed(&mut self, now: Moment) {
-        self.view.disturb(now);
+        self.view.record_store_failure(now);
     }
 
     // ------------------------------------------------------------------------
@@ -326,7 +326,7 @@
 
     /// Handles the loss of a peer's stream: the peer is probed next.
     pub fn broken(&mut self, now: Moment, peer: &id::Router) {
-        self.swim.doubt(now, peer);
+        self.swim.probe_next(now, peer);
     }
 
     /// Handles a datagram of the membership protocol.
@@ -374,7 +374,7 @@
             Frame::Sync(sync) => self.handle_sync(now, from, sync),
             Frame::Synced { number, age, revision, calm, news, knows_fleet, members } => {
                 self.learned_fleet |= knows_fleet;
-                let effects = self.swim.learn_members(now, members);
+                let effects = self.swim.merge_members(now, members);
                 let mut effects = self.handle_membership(now, effects);
                 effects.extend(self.handle_synced(now, number, age, revision, calm, news));
                 effects
@@ -417,7 +417,7 @@
         let mut effects = Vec::new();
         if self.started_at.is_none() {
             self.started_at = Some(now);
-            let probes = self.swim.knock_at_seeds();
+            let probes = self.swim.ping_seeds();
             effects.extend(self.handle_membership(now, probes));
         }
         let ticked = self.swim.tick(now);
@@ -457,7 +457,7 @@
     /// Adds addresses at which routers may be found.
     pub fn introduce(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
-            self.swim.introduce(*address);
+            self.swim.add_seed(*address);
         }
     }
 
--- a/crates/stairvale-serve/src/core/naming.rs
+++ b/crates/stairvale-serve/src/core/naming.rs
@@ -57,7 +57,7 @@
             status: Status::Alive,
             strength: router.strength,
         });
-        let effects = self.swim.presume(now, registered.collect());
+        let effects = self.swim.assume_alive(now, registered.collect());
         self.handle_membership(now, effects)
     }
 
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -140,7 +140,7 @@
 
     fn spread_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
         let (boot, state) = (upstream.start().unwrap_or_default(), packet::State::Draining);
-        let effects = self.swim.spread(Word { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
+        let effects = self.swim.gossip_report(Word { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
         self.handle_membership(now, effects)
     }
 
--- a/crates/stairvale-serve/src/core/roles.rs
+++ b/crates/stairvale-serve/src/core/roles.rs
@@ -62,7 +62,7 @@
     pub(super) fn update_roles(&mut self, now: Moment) {
         let inputs = RoleInputs {
             members: self.swim.revision(),
-            names: self.view.names(),
+            names: self.view.routers_revision(),
             excluded: self.excluded_watchers_revision,
             in_presumed_period: self.uptime(now) < PRESUMED_ALIVE_PERIOD,
         };
--- a/crates/stairvale-serve/src/core/spread.rs
+++ b/crates/stairvale-serve/src/core/spread.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use stairvale_placement::mix;
-use stairvale_replica::News;
+use stairvale_replica::StoreUpdate;
 use stairvale_types::{Moment, id};
 use stairvale_wire::{Member, Status};
 
@@ -34,7 +34,7 @@
             return Vec::new();
         };
         let in_zone = |peer: &&Member| peer.zone == self.zone && has_responded(peer);
-        if matches!(news, News::Everything { .. }) {
+        if matches!(news, StoreUpdate::Everything { .. }) {
             // A router that requests a snapshot while this one is in transit isn't sent another. A peer that may not
             // support epochs may drop the snapshot, so it isn't recorded as having received it.
             let receives_snapshot = |peer: &&Member| in_zone(peer) && self.knows_epochs(&peer.router);
@@ -71,15 +71,15 @@
     }
 
     /// Relays changes to other routers of the zone.
-    pub(super) fn forward_news(&self, news: &News, to: &[id::Router]) -> Vec<Effect> {
+    pub(super) fn forward_news(&self, news: &StoreUpdate, to: &[id::Router]) -> Vec<Effect> {
         let to: Vec<_> = to.iter().filter_map(|router| self.responding_peer(router)).collect();
         if to.is_empty() { Vec::new() } else { vec![Effect::Frames { to, frame: Box::new(Frame::News(news.clone())) }] }
     }
 
     /// Handles changes that a peer sent.
-    pub(super) fn handle_news(&mut self, now: Moment, from: &id::Router, news: News) -> Vec<Effect> {
+    pub(super) fn handle_news(&mut self, now: Moment, from: &id::Router, news: StoreUpdate) -> Vec<Effect> {
         let after = self.view.revision();
-        if !self.view.take(news) {
+        if !self.view.apply(news) {
             return self.send_sync(now, from, after);
         }
         let mut effects = self.apply_view(now);
--- a/crates/stairvale-serve/src/frame.rs
+++ b/crates/stairvale-serve/src/frame.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use stairvale_dispatch::{Ask, Held, Outcome, Part, Verdict, suspects::Evidence};
-use stairvale_replica::News;
+use stairvale_replica::StoreUpdate;
 use stairvale_rollout::{Write, Written};
 use stairvale_types::id;
 use stairvale_wire::Member;
@@ -97,18 +97,18 @@
         /// if unknown.
         calm: Option<Duration>,
         /// The changes that the receiver lacks.
-        news: Option<News>,
+        news: Option<StoreUpdate>,
         /// Whether the sender knows the number of routers; one that has just started doesn't.
         knows_fleet: bool,
         /// The live routers, if the receiver knows clearly fewer.
         members: Vec<Member>,
     },
     /// Changes of the store, sent as soon as the sender has read them.
-    News(News),
+    News(StoreUpdate),
     /// Changes of the store, to be relayed to other routers of the zone.
     Relay {
         /// The changes to relay.
-        news: News,
+        news: StoreUpdate,
         /// The routers to which the receiver relays the changes.
         to: Vec<id::Router>,
     },
--- a/crates/stairvale-serve/src/source.rs
+++ b/crates/stairvale-serve/src/source.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, time::Duration};
 
-use stairvale_replica::{Item, News, Router};
+use stairvale_replica::{Item, StoreUpdate, Router};
 use stairvale_rollout::{Write, Written};
 use stairvale_types::id;
 
@@ -77,12 +77,12 @@
     type Lease: Clone + Send + Sync;
 
     /// Reads the complete state.
-    fn everything(&self, consistency: Consistency) -> impl Future<Output = Result<News, Fault>> + Send;
+    fn everything(&self, consistency: Consistency) -> impl Future<Output = Result<StoreUpdate, Fault>> + Send;
     /// Reads which routers are registered, as of up to some seconds ago: a few entries, however many upstreams there
     /// are.
     fn names(&self) -> impl Future<Output = Result<Vec<Item>, Fault>> + Send;
     /// Waits up to `wait` for changes after a revision.
-    fn changes(&self, after: u64, wait: Duration) -> impl Future<Output = Result<News, Fault>> + Send;
+    fn changes(&self, after: u64, wait: Duration) -> impl Future<Output = Result<StoreUpdate, Fault>> + Send;
     /// Grants a lease for the given time, counted from the call.
     fn grant(&self, keep: Duration) -> impl Future<Output = Result<Self::Lease, Fault>> + Send;
     /// Applies changes to the registrations of routers, all or none of them. Registrations last until the lease ends.
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use stairvale_dispatch::{Ask, Held, Outcome, Part, Verdict};
-use stairvale_replica::{Item, News, Revision, Router, State, Subject, Upstream, Value};
+use stairvale_replica::{Item, StoreUpdate, Revision, Router, State, Subject, Upstream, Value};
 use stairvale_serve::{
     core::{Core, Effect, Reading, Reply},
     frame::Frame,
@@ -395,7 +395,7 @@
         if self.without_epochs.contains(&index) { 0 } else { self.epoch }
     }
 
-    fn changes_since(&self, index: usize, after: u64) -> News {
+    fn changes_since(&self, index: usize, after: u64) -> StoreUpdate {
         let (epoch, since) = (self.epoch_for(index), Revision::from(after));
         let compacted = since.number() < self.compacted_to || since.number() > self.store.len() as u64;
         if since.epoch() != epoch || compacted || epoch > 0 && since.number() == 0 {
@@ -403,15 +403,15 @@
         }
         let later = self.store.iter().filter(|item| item.revision > since.number()).cloned();
         let items = later.map(|item| Item { revision: epoch_revision(epoch, item.revision), ..item }).collect();
-        News::Changes { after, to: epoch_revision(epoch, self.store.len() as u64), items }
+        StoreUpdate::Changes { after, to: epoch_revision(epoch, self.store.len() as u64), items }
     }
 
     /// The complete state of a stale replica of the store. Its revisions have number 0, so they sort before every confirmed
     /// revision of the epoch.
-    fn stale_snapshot(&self, index: usize) -> News {
+    fn stale_snapshot(&self, index: usize) -> StoreUpdate {
         let epoch = self.epoch_for(index);
         let mut news = self.snapshot(epoch, self.store.len().saturating_sub(self.stale_read_lag));
-        if let (News::Everything { to, items }, true) = (&mut news, epoch > 0) {
+        if let (StoreUpdate::Everything { to, items }, true) = (&mut news, epoch > 0) {
             *to = epoch_revision(epoch, 0);
             items.iter_mut().for_each(|item| item.revision = epoch_revision(epoch, 0));
         }
@@ -419,14 +419,14 @@
     }
 
     /// The complete state of the store after its first `to` changes.
-    fn snapshot(&self, epoch: u64, to: usize) -> News {
+    fn snapshot(&self, epoch: u64, to: usize) -> StoreUpdate {
         let mut items = BTreeMap::new();
         for item in &self.store[..to] {
             items.insert(item.subject.clone(), item.clone());
         }
         let present = items.into_values().filter(|item| item.value.is_some());
         let items = present.map(|item| Item { revision: epoch_revision(epoch, item.revision), ..item }).collect();
-        News::Everything { to: epoch_revision(epoch, to as u64), items }
+        StoreUpdate::Everything { to: epoch_revision(epoch, to as u64), items }
     }
 
     fn poll_store(&mut self, index: usize) {
@@ -468,7 +468,7 @@
         let revision_held = node.core.view().revision();
         if call.reading == Reading::Names {
             node.call = None;
-            let (News::Changes { items, .. } | News::Everything { items, .. }) = self.stale_snapshot(index);
+            let (StoreUpdate::Changes { items, .. } | StoreUpdate::Everything { items, .. }) = self.stale_snapshot(index);
             let names = items.into_iter().filter(|item| matches!(item.subject, Subject::Router(_))).collect();
             let now = self.local_time(index);
             let effects = self.nodes[index].core.read_names(now, names);
