--- a/crates/stairvale-link/src/lib.rs
+++ b/crates/stairvale-link/src/lib.rs
@@ -1,9 +1,10 @@
 //! Streams of frames between the processes of one fleet.
 //!
-//! Each process opens one `h2` stream to every peer that it has something to say to, and frames go one way on it, coded
-//! as `stairvale-wire`'s codec does. [`Links`] sends, [`listen()`] receives; both hand what happens to a [`Sink`].
-//! [`watch_over`] gives any connection, these streams and others, a limit to its silence.
-//! A frame that can't be sent is dropped, so what it says must be said again by something that repeats.
+//! Each process opens one `h2` stream to every peer that it sends frames to. A stream carries frames in one direction,
+//! encoded by `stairvale_wire::codec`. [`Links`] sends, [`listen()`] receives; both report to a [`Sink`].
+//! [`watch_over`] sets the time-outs after which an unresponsive TCP connection is closed; it also serves connections
+//! other than these streams.
+//! A frame that can't be sent is dropped, so the sender's protocol has to repeat whatever must arrive.
 //!
 //! ```
 //! use stairvale_link::{Links, Sink};
@@ -29,15 +30,15 @@
 
 use stairvale_types::id;
 
-/// Takes what links bring.
+/// Receives the frames and the stream failures of a process's links.
 pub trait Sink<F>: Clone + Send + Sync + 'static {
-    /// A peer sent a frame.
+    /// Called for each frame received from a peer, in the order of its stream.
     fn frame(&self, from: &id::Router, frame: F);
-    /// The stream to a peer couldn't be opened, or broke.
+    /// Called when the stream to a peer couldn't be opened, or failed after it was open.
     fn broken(&self, to: &id::Router);
 }
 
-/// The header that names the sender.
-pub(crate) const SENDER: &str = "stairvale-router";
-/// The header with the protocol's version.
-pub(crate) const VERSION: &str = "stairvale-version";
+/// The request header that carries the sending router's name.
+pub(crate) const SENDER_HEADER: &str = "stairvale-router";
+/// The request header that carries the sender's [`stairvale_wire::VERSION`].
+pub(crate) const VERSION_HEADER: &str = "stairvale-version";
--- a/crates/stairvale-link/src/links.rs
+++ b/crates/stairvale-link/src/links.rs
@@ -1,4 +1,4 @@
-//! Streams to peers.
+//! Outgoing streams to peers.
 
 use std::{
     collections::HashMap,
@@ -16,50 +16,54 @@
 use stairvale_wire::codec;
 use tokio::{net::TcpStream, task::AbortHandle};
 
-use crate::{SENDER, Sink, VERSION, watch_over};
+use crate::{SENDER_HEADER, Sink, VERSION_HEADER, watch_over};
 
-/// A connection that isn't made by then is tried anew: the first packet to a peer without power, or with too many callers, is
-/// lost, and the kernel sends the next one only after a second.
+/// Limits a TCP connect. A peer that is powered off, or whose accept queue is full, drops the first SYN, and the kernel
+/// retransmits it only after a second, so a new connect is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A peer that has taken the connection may need this long to answer: hundreds may have come to it at once, since all have
-/// just started.
+/// Limits the opening of a stream, including the peer's response. A peer that accepted the connection may take this
+/// long to respond, since hundreds of routers that start at the same time connect to it at once.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A stream on which nothing is acknowledged for this long is silent. Homes' answers and news of the store hang on it: the
-/// former go to another home after 120 ms at most, the latter are to be known in one or more seconds.
-pub(crate) const SILENCE: Duration = Duration::from_millis(800);
-/// A peer that was sent something is pinged this often: its kernel may acknowledge what the peer never reads.
-const PING: Duration = Duration::from_secs(1);
-/// After a failure a peer is left alone for this long.
+/// A stream on which sent data stays unacknowledged for this long has failed. Answers of homes and updates from the
+/// store travel on these streams: a request turns to another home after at most 120 ms, while updates from the store
+/// may take one or more seconds.
+pub(crate) const ACK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval between pings of a peer that frames were sent to. TCP acknowledgements aren't enough, since the kernel of
+/// the peer's VM may acknowledge data that its process never reads.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
+/// After its stream failed, a peer is not reconnected to for this long.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A peer that takes nothing for this long is as good as gone: its stream is opened anew.
-const STALLED: Duration = Duration::from_secs(1);
-/// Bytes that may wait for a stream to open; more are dropped.
-const WAITING: usize = 1 << 20;
+/// A peer whose flow-control window stays full for this long is considered unresponsive: its stream is opened anew.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limits the bytes sent from the frames that waited for a stream to open; the rest is dropped.
+const MAX_WAITING_BYTES: usize = 1 << 20;
 
 enum State {
-    /// Frames wait for the stream.
+    /// The stream is being opened; these encoded frames wait for it.
     Opening(Vec<Bytes>),
     Open(Open),
+    /// The stream failed at this time.
     Broken(Instant),
 }
 
-/// An open stream, and since when its peer has taken nothing.
+/// An open stream to a peer.
 struct Open {
     stream: SendStream<Bytes>,
-    stalled: Option<Instant>,
-    /// Whether something was sent since it was pinged last.
-    used: bool,
+    /// When the stream first lacked flow-control capacity for a frame; `None` while it has capacity.
+    stalled_since: Option<Instant>,
+    /// Whether a frame was sent since the last ping.
+    sent_since_ping: bool,
 }
 
-/// A stream to a peer that has just been opened. Its connection ends with it.
+/// A stream that was just opened, before it is installed in its [`Link`]. Dropping it closes its connection.
 struct Opened {
     stream: SendStream<Bytes>,
-    answer: h2::RecvStream,
+    response_body: h2::RecvStream,
     pings: PingPong,
     connection: Connection,
 }
 
-/// A connection's task.
+/// The task that drives an `h2` connection; it is aborted on drop, which closes the connection.
 struct Connection(AbortHandle);
 
 impl Drop for Connection {
@@ -69,30 +73,33 @@
 }
 
 impl Open {
-    /// Sends what the peer has room for; `false` if it had none for too long, or the stream is closed.
+    /// Sends a frame. Returns `false` if the peer's flow-control window had no room for longer than [`STALL_TIMEOUT`],
+    /// or if the stream is closed.
     fn send(&mut self, bytes: Bytes) -> bool {
-        self.used = true;
+        self.sent_since_ping = true;
         self.stream.reserve_capacity(bytes.len());
         if self.stream.capacity() >= bytes.len() {
-            self.stalled = None;
-        // While this VM was suspended it could not see whether the peer takes anything, so that time doesn't count.
-        } else if self.stalled.get_or_insert_with(Instant::now).elapsed() > STALLED {
+            self.stalled_since = None;
+        // `Instant` doesn't advance while this VM is suspended, and shouldn't: the peer's progress isn't observable
+        // then.
+        } else if self.stalled_since.get_or_insert_with(Instant::now).elapsed() > STALL_TIMEOUT {
             return false;
         }
         self.stream.send_data(bytes, false).is_ok()
     }
 }
 
+/// The link to one peer.
 struct Link {
     address: SocketAddr,
     state: State,
-    /// Tells a later stream to the same peer from this one.
-    number: u64,
+    /// Serial number of the stream, which distinguishes it from later streams to the same peer.
+    serial: u64,
 }
 
-/// All streams to peers. Clones share them.
+/// The outgoing streams of a router to its peers. Clones share the same streams.
 pub struct Links<F, S> {
-    me: id::Router,
+    local: id::Router,
     sink: S,
     links: Arc<Mutex<HashMap<id::Router, Link>>>,
     frame: std::marker::PhantomData<fn(F)>,
@@ -100,43 +107,46 @@
 
 impl<F, S: Clone> Clone for Links<F, S> {
     fn clone(&self) -> Self {
-        let (me, sink, links) = (self.me.clone(), self.sink.clone(), self.links.clone());
-        Self { me, sink, links, frame: std::marker::PhantomData }
+        let (local, sink, links) = (self.local.clone(), self.sink.clone(), self.links.clone());
+        Self { local, sink, links, frame: std::marker::PhantomData }
     }
 }
 
 impl<F: Serialize + Send + 'static, S: Sink<F>> Links<F, S> {
-    /// No streams yet.
+    /// Creates the links of the router `local`, without any stream.
     #[must_use]
-    pub fn new(me: id::Router, sink: S) -> Self {
-        Self { me, sink, links: Arc::default(), frame: std::marker::PhantomData }
+    pub fn new(local: id::Router, sink: S) -> Self {
+        Self { local, sink, links: Arc::default(), frame: std::marker::PhantomData }
     }
 
-    /// Streams that are open or opening.
+    /// The number of streams that are open or opening.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().values().filter(|link| !matches!(link.state, State::Broken(_))).count()
     }
 
-    /// Whether there are none.
+    /// Whether no stream is open or opening.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Sends a frame; `false` if the peer can't be reached now.
+    /// Encodes and sends a frame, opening a stream if there is none. Returns `false` if the frame was dropped, because
+    /// it is too large or because the stream to the peer failed less than 100 ms ago.
     pub fn send(&self, to: &id::Router, address: SocketAddr, frame: &F) -> bool {
         Self::write(frame).is_some_and(|bytes| self.send_written(to, address, bytes))
     }
 
-    /// A frame as it is sent, for [`Self::send_written`]; `None` if it is larger than any may be. Written once, its bytes are
-    /// shared by all peers that it goes to, for as long as they wait for any of them.
+    /// Encodes a frame for [`Self::send_written`]; `None` if it exceeds [`codec::MAX_FRAME`]. A frame that goes to
+    /// several peers is encoded once: all their streams share the buffer, which is freed after the last of them has
+    /// sent it.
     #[must_use]
     pub fn write(frame: &F) -> Option<Bytes> {
         codec::encode(frame).ok()
     }
 
-    /// Sends a frame that was written before; `false` if the peer can't be reached now.
+    /// Sends a frame encoded by [`Self::write`], opening a stream if there is none. Returns `false` if the frame was
+    /// dropped because the stream to the peer failed less than 100 ms ago.
     pub fn send_written(&self, to: &id::Router, address: SocketAddr, bytes: Bytes) -> bool {
         let mut links = self.lock();
         if let Some(link) = links.get_mut(to).filter(|link| link.address == address) {
@@ -154,61 +164,67 @@
                 State::Broken(_) => {}
             }
         }
-        let number = links.get(to).map_or(0, |link| link.number + 1);
-        links.insert(to.clone(), Link { address, state: State::Opening(vec![bytes]), number });
+        let serial = links.get(to).map_or(0, |link| link.serial + 1);
+        links.insert(to.clone(), Link { address, state: State::Opening(vec![bytes]), serial });
         drop(links);
-        tokio::spawn(self.clone().run(to.clone(), address, number));
+        tokio::spawn(self.clone().run(to.clone(), address, serial));
         true
     }
 
-    /// Ends the stream to a peer that is known to be gone.
+    /// Closes the stream to a peer that has left the fleet or was declared dead.
     pub fn close(&self, to: &id::Router) {
         self.lock().remove(to);
     }
 
-    async fn run(self, to: id::Router, address: SocketAddr, number: u64) {
-        let opening = tokio::time::timeout(OPEN_TIMEOUT, connect(&self.me, address));
-        if let Some(Opened { stream, mut answer, pings, connection }) = opening.await.ok().flatten()
-            && self.opened(&to, number, stream)
+    /// Opens a stream to the peer and serves it until it closes, fails or becomes unresponsive, then reports the
+    /// failure.
+    async fn run(self, to: id::Router, address: SocketAddr, serial: u64) {
+        let opening = tokio::time::timeout(OPEN_TIMEOUT, connect(&self.local, address));
+        if let Some(Opened { stream, mut response_body, pings, connection }) = opening.await.ok().flatten()
+            && self.install_stream(&to, serial, stream)
         {
             tokio::select! {
-                // The peer never sends data, so this ends with the stream.
-                _ = poll_fn(|context| answer.poll_data(context)) => {}
-                () = self.ping(&to, number, pings) => tracing::info!(peer = %to, "the stream to a peer is silent"),
+                // The peer never sends data, so this future completes only when the stream closes.
+                _ = poll_fn(|context| response_body.poll_data(context)) => {}
+                () = self.ping_until_unresponsive(&to, serial, pings) => {
+                    tracing::info!(peer = %to, "the stream to a peer is silent");
+                }
             }
             drop(connection);
         }
         let mut links = self.lock();
-        if let Some(link) = links.get_mut(&to).filter(|link| link.number == number) {
-            // A pause before the next try: it may as well begin anew after a suspension.
+        if let Some(link) = links.get_mut(&to).filter(|link| link.serial == serial) {
+            // The reconnect delay uses a clock that stops while the VM is suspended, which merely prolongs the delay.
             link.state = State::Broken(Instant::now());
             drop(links);
             self.sink.broken(&to);
         }
     }
 
-    /// Pings the peer as long as it answers in time.
-    async fn ping(&self, to: &id::Router, number: u64, mut pings: PingPong) {
+    /// Pings the peer after each interval in which frames were sent to it. Returns when a ping isn't answered within
+    /// [`ACK_TIMEOUT`].
+    async fn ping_until_unresponsive(&self, to: &id::Router, serial: u64, mut pings: PingPong) {
         loop {
-            tokio::time::sleep(PING).await;
-            let used = match self.lock().get_mut(to).filter(|link| link.number == number).map(|link| &mut link.state) {
-                Some(State::Open(open)) => std::mem::take(&mut open.used),
+            tokio::time::sleep(PING_INTERVAL).await;
+            let sent = match self.lock().get_mut(to).filter(|link| link.serial == serial).map(|link| &mut link.state) {
+                Some(State::Open(open)) => std::mem::take(&mut open.sent_since_ping),
                 Some(State::Opening(_) | State::Broken(_)) | None => false,
             };
-            if used && !matches!(tokio::time::timeout(SILENCE, pings.ping(Ping::opaque())).await, Ok(Ok(_))) {
+            if sent && !matches!(tokio::time::timeout(ACK_TIMEOUT, pings.ping(Ping::opaque())).await, Ok(Ok(_))) {
                 return;
             }
         }
     }
 
-    /// Hands over what waited; `false` if another stream took this one's place.
-    fn opened(&self, to: &id::Router, number: u64, mut stream: SendStream<Bytes>) -> bool {
+    /// Sends the waiting frames on a stream that was just opened and marks the link as open. Returns `false` if the
+    /// link was closed or replaced by a later stream, or if the new stream is already closed.
+    fn install_stream(&self, to: &id::Router, serial: u64, mut stream: SendStream<Bytes>) -> bool {
         let mut links = self.lock();
-        let Some(link) = links.get_mut(to).filter(|link| link.number == number) else {
+        let Some(link) = links.get_mut(to).filter(|link| link.serial == serial) else {
             return false;
         };
         if let State::Opening(waiting) = &mut link.state {
-            let mut left = WAITING;
+            let mut left = MAX_WAITING_BYTES;
             for bytes in waiting.drain(..).take_while(|bytes| {
                 left = left.saturating_sub(bytes.len());
                 left > 0
@@ -218,7 +234,7 @@
                 }
             }
         }
-        link.state = State::Open(Open { stream, stalled: None, used: true });
+        link.state = State::Open(Open { stream, stalled_since: None, sent_since_ping: true });
         true
     }
 
@@ -227,20 +243,21 @@
     }
 }
 
-async fn connect(me: &id::Router, address: SocketAddr) -> Option<Opened> {
+/// Connects to a peer and opens a stream; `None` if that fails or the peer rejects the request.
+async fn connect(local: &id::Router, address: SocketAddr) -> Option<Opened> {
     let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
-    watch_over(&tcp, SILENCE).ok()?;
+    watch_over(&tcp, ACK_TIMEOUT).ok()?;
     let (client, mut connection) = h2::client::handshake(tcp).await.ok()?;
     let pings = connection.ping_pong()?;
     let connection = Connection(tokio::spawn(connection).abort_handle());
     let mut client = client.ready().await.ok()?;
-    let request = Request::post(format!("http://{address}/peer")).header(SENDER, me.as_str());
-    let request = request.header(VERSION, stairvale_wire::VERSION).body(()).ok()?;
+    let request = Request::post(format!("http://{address}/peer")).header(SENDER_HEADER, local.as_str());
+    let request = request.header(VERSION_HEADER, stairvale_wire::VERSION).body(()).ok()?;
     let (response, stream) = client.send_request(request, false).ok()?;
     let response = response.await.ok()?;
     if response.status() != StatusCode::OK {
-        tracing::warn!(%address, status = %response.status(), "a peer refused this router");
+        tracing::warn!(%address, status = %response.status(), "peer rejected the request to open a stream");
         return None;
     }
-    Some(Opened { stream, answer: response.into_body(), pings, connection })
+    Some(Opened { stream, response_body: response.into_body(), pings, connection })
 }
--- a/crates/stairvale-link/src/listen.rs
+++ b/crates/stairvale-link/src/listen.rs
@@ -1,4 +1,4 @@
-//! Streams from peers.
+//! Incoming streams from peers.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
 use stairvale_wire::codec;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::{SENDER, Sink, VERSION, links::SILENCE, watch_over};
+use crate::{SENDER_HEADER, Sink, VERSION_HEADER, links::ACK_TIMEOUT, watch_over};
 
-/// Bytes that may wait to be read. `h2` ends a connection on which small frames of half of this many bytes, heads counted, wait: with its usual
-/// window a hundred frames at once would be too many.
-const WINDOW: u32 = 1 << 20;
-/// After a failed accept.
+/// Flow-control window of a connection: the bytes that may wait to be read. `h2` closes a connection whose waiting
+/// small frames, headers included, exceed half of the window; with its default window a burst of a hundred frames would
+/// exceed it.
+const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
+/// Delay before the next `accept` after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Takes streams from peers until the task is dropped.
+/// Accepts connections and streams from peers, and passes their frames to `sink`, until the future is dropped.
 pub async fn listen<F: DeserializeOwned + Send + 'static, S: Sink<F>>(listener: TcpListener, sink: S) {
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
@@ -29,29 +30,30 @@
 }
 
 async fn serve<F: DeserializeOwned + Send + 'static, S: Sink<F>>(tcp: TcpStream, sink: S) {
-    if watch_over(&tcp, SILENCE).is_err() {
+    if watch_over(&tcp, ACK_TIMEOUT).is_err() {
         return;
     }
-    let handshake = h2::server::Builder::new().initial_connection_window_size(WINDOW).handshake(tcp);
+    let handshake = h2::server::Builder::new().initial_connection_window_size(CONNECTION_WINDOW_BYTES).handshake(tcp);
     let Ok(mut connection) = handshake.await else {
         return;
     };
     while let Some(Ok((request, respond))) = connection.accept().await {
         let sender = sender(request.headers());
-        tokio::spawn(stream::<F, S>(sender, request.into_body(), respond, sink.clone()));
+        tokio::spawn(serve_stream::<F, S>(sender, request.into_body(), respond, sink.clone()));
     }
 }
 
-/// Who sends, if it speaks this version.
+/// The router that opened the stream; `None` if the headers are invalid or its protocol version differs.
 fn sender(headers: &HeaderMap) -> Option<id::Router> {
-    let version = headers.get(VERSION)?.to_str().ok()?;
+    let version = headers.get(VERSION_HEADER)?.to_str().ok()?;
     if version != stairvale_wire::VERSION.to_string() {
         return None;
     }
-    headers.get(SENDER)?.to_str().ok()?.parse().ok()
+    headers.get(SENDER_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-async fn stream<F: DeserializeOwned, S: Sink<F>>(
+/// Answers the request that opened a stream, and reads its frames if the sender is valid.
+async fn serve_stream<F: DeserializeOwned, S: Sink<F>>(
     sender: Option<id::Router>,
     body: RecvStream,
     mut respond: SendResponse<bytes::Bytes>,
@@ -65,23 +67,24 @@
         return;
     };
     if let Some(from) = sender
-        && let Err(error) = read(&from, body, &sink).await
+        && let Err(error) = read_frames(&from, body, &sink).await
     {
-        tracing::warn!(%from, %error, "a peer's stream made no sense");
+        tracing::warn!(%from, %error, "invalid frame on a stream from a peer; stream closed");
     }
 }
 
-async fn read<F: DeserializeOwned, S: Sink<F>>(
+/// Passes the frames of a stream to `sink` until the stream ends.
+async fn read_frames<F: DeserializeOwned, S: Sink<F>>(
     from: &id::Router,
     mut body: RecvStream,
     sink: &S,
 ) -> Result<(), codec::Error> {
     let mut buffer = codec::Buffer::default();
-    while let Some(Ok(piece)) = body.data().await {
-        if body.flow_control().release_capacity(piece.len()).is_err() {
+    while let Some(Ok(chunk)) = body.data().await {
+        if body.flow_control().release_capacity(chunk.len()).is_err() {
             return Ok(());
         }
-        buffer.extend(&piece);
+        buffer.extend(&chunk);
         while let Some(frame) = buffer.take::<F>()? {
             sink.frame(from, frame);
         }
--- a/crates/stairvale-link/tests/link.rs
+++ b/crates/stairvale-link/tests/link.rs
@@ -1,4 +1,4 @@
-//! Frames arrive in order, and whoever can't be reached is told of.
+//! Delivery order of frames, and detection and reconnection of peers that are unreachable or unresponsive.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,12 +13,12 @@
 use tokio::net::TcpListener;
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct RecordingSink {
     frames: Arc<Mutex<Vec<(id::Router, String)>>>,
     broken: Arc<Mutex<Vec<id::Router>>>,
 }
 
-impl Sink<String> for Seen {
+impl Sink<String> for RecordingSink {
     fn frame(&self, from: &id::Router, frame: String) {
         self.frames.lock().unwrap().push((from.clone(), frame));
     }
@@ -28,21 +28,21 @@
     }
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn block_on(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-async fn until(holds: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..1_000 {
-        if holds() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("it never came to that");
+    panic!("condition not met within 10 s");
 }
 
-async fn open() -> (TcpListener, SocketAddr) {
+async fn bind() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
@@ -50,73 +50,74 @@
 
 #[test]
 fn frames_arrive_in_order() {
-    run(async {
-        let (seen, (listener, address)) = (Seen::default(), open().await);
-        tokio::spawn(listen::<String, Seen>(listener, seen.clone()));
-        let links = Links::new("r1".parse().unwrap(), Seen::default());
+    block_on(async {
+        let (received, (listener, address)) = (RecordingSink::default(), bind().await);
+        tokio::spawn(listen::<String, RecordingSink>(listener, received.clone()));
+        let links = Links::new("r1".parse().unwrap(), RecordingSink::default());
         let to = "r2".parse().unwrap();
-        // Those that are sent before the stream is open wait for it.
+        // Frames sent before the stream is open wait for it.
         for number in 0..500 {
             assert!(links.send(&to, address, &format!("frame {number}")));
         }
-        until(|| seen.frames.lock().unwrap().len() == 500).await;
-        let frames = seen.frames.lock().unwrap();
+        wait_until(|| received.frames.lock().unwrap().len() == 500).await;
+        let frames = received.frames.lock().unwrap();
         let expected = (0..500).map(|number| ("r1".parse().unwrap(), format!("frame {number}")));
         assert!(frames.iter().cloned().eq(expected));
     });
 }
 
 #[test]
-fn a_peer_that_is_not_there_is_told_of_and_found_again() {
-    run(async {
-        let (listener, address) = open().await;
+fn an_unreachable_peer_is_reported_and_reconnected_to() {
+    block_on(async {
+        let (listener, address) = bind().await;
         drop(listener);
-        let sender = Seen::default();
+        let sender = RecordingSink::default();
         let links = Links::new("r1".parse().unwrap(), sender.clone());
         let to: id::Router = "r2".parse().unwrap();
         links.send(&to, address, &"lost".to_owned());
-        until(|| sender.broken.lock().unwrap().contains(&to)).await;
+        wait_until(|| sender.broken.lock().unwrap().contains(&to)).await;
         assert!(!links.send(&to, address, &"too soon".to_owned()));
-        let seen = Seen::default();
-        tokio::spawn(listen::<String, Seen>(TcpListener::bind(address).await.unwrap(), seen.clone()));
-        until(|| links.send(&to, address, &"here".to_owned())).await;
-        until(|| !seen.frames.lock().unwrap().is_empty()).await;
+        let received = RecordingSink::default();
+        tokio::spawn(listen::<String, RecordingSink>(TcpListener::bind(address).await.unwrap(), received.clone()));
+        wait_until(|| links.send(&to, address, &"here".to_owned())).await;
+        wait_until(|| !received.frames.lock().unwrap().is_empty()).await;
     });
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_given_up() {
-    run(async {
-        let (listener, address) = open().await;
-        // It opens the stream and never reads from it.
+fn a_stream_whose_peer_reads_nothing_is_reopened() {
+    block_on(async {
+        let (listener, address) = bind().await;
+        // The peer accepts each stream and never reads from it.
         tokio::spawn(async move {
             let (tcp, _) = listener.accept().await.unwrap();
             let mut connection = h2::server::handshake(tcp).await.unwrap();
-            let mut kept = Vec::new();
+            let mut unread = Vec::new();
             while let Some(Ok((request, mut respond))) = connection.accept().await {
-                kept.push((respond.send_response(http::Response::new(()), false).unwrap(), request));
+                unread.push((respond.send_response(http::Response::new(()), false).unwrap(), request));
             }
         });
-        let sender = Seen::default();
+        let sender = RecordingSink::default();
         let links = Links::new("r1".parse().unwrap(), sender);
         let to = "r2".parse().unwrap();
         let large = "x".repeat(100_000);
         assert!(links.send(&to, address, &large));
         let mut sent = 1;
-        // Streams are opened anew, so what can wait for this peer stays bounded.
+        // The stalled stream is reopened again and again, which bounds the data that waits for this peer.
         for _ in 0..40 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             sent += usize::from(links.send(&to, address, &large));
         }
-        assert!(sent > 5, "it is tried again and again");
+        assert!(sent > 5, "only {sent} of 41 frames were accepted");
     });
 }
 
-/// A way to `target` whose open connections can be silenced for good, while new ones work.
-async fn silenceable(target: SocketAddr) -> (SocketAddr, Arc<std::sync::atomic::AtomicUsize>) {
-    let (listener, address) = open().await;
-    let silenced = Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let count = silenced.clone();
+/// Starts a proxy to `target`. The first connections, as many as the returned counter says, are blackholed: their data
+/// is dropped for good without closing them, while later connections work.
+async fn blackhole_proxy(target: SocketAddr) -> (SocketAddr, Arc<std::sync::atomic::AtomicUsize>) {
+    let (listener, address) = bind().await;
+    let blackholed = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let count = blackholed.clone();
     tokio::spawn(async move {
         let mut number = 0;
         while let Ok((near, _)) = listener.accept().await {
@@ -125,7 +126,7 @@
             tokio::spawn(async move {
                 let far = tokio::net::TcpStream::connect(target).await.unwrap();
                 let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-                let carry = |mut from: tokio::net::tcp::OwnedReadHalf, mut to: tokio::net::tcp::OwnedWriteHalf| {
+                let forward = |mut from: tokio::net::tcp::OwnedReadHalf, mut to: tokio::net::tcp::OwnedWriteHalf| {
                     let count = count.clone();
                     async move {
                         use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -136,33 +137,33 @@
                             }
                             to.write_all(&buffer[..read]).await.unwrap();
                         }
-                        // Silenced connections aren't closed either.
+                        // Keeps blackholed connections open.
                         std::future::pending::<()>().await;
                     }
                 };
-                tokio::join!(carry(near_in, far_out), carry(far_in, near_out));
+                tokio::join!(forward(near_in, far_out), forward(far_in, near_out));
             });
         }
     });
-    (address, silenced)
+    (address, blackholed)
 }
 
 #[test]
-fn a_stream_that_goes_silent_without_a_reset_is_opened_anew() {
-    run(async {
-        let (seen, (listener, address)) = (Seen::default(), open().await);
-        tokio::spawn(listen::<String, Seen>(listener, seen.clone()));
-        let (address, silenced) = silenceable(address).await;
-        let sender = Seen::default();
+fn a_stream_blackholed_without_a_reset_is_reopened() {
+    block_on(async {
+        let (received, (listener, address)) = (RecordingSink::default(), bind().await);
+        tokio::spawn(listen::<String, RecordingSink>(listener, received.clone()));
+        let (address, blackholed) = blackhole_proxy(address).await;
+        let sender = RecordingSink::default();
         let links = Links::new("r1".parse().unwrap(), sender.clone());
         let to: id::Router = "r2".parse().unwrap();
         assert!(links.send(&to, address, &"before".to_owned()));
-        until(|| seen.frames.lock().unwrap().len() == 1).await;
-        silenced.store(1, std::sync::atomic::Ordering::Relaxed);
+        wait_until(|| received.frames.lock().unwrap().len() == 1).await;
+        blackholed.store(1, std::sync::atomic::Ordering::Relaxed);
         assert!(links.send(&to, address, &"lost".to_owned()));
-        until(|| sender.broken.lock().unwrap().contains(&to)).await;
-        until(|| links.send(&to, address, &"after".to_owned())).await;
-        until(|| seen.frames.lock().unwrap().iter().any(|(_, frame)| frame == "after")).await;
-        assert!(seen.frames.lock().unwrap().iter().all(|(_, frame)| frame != "lost"));
+        wait_until(|| sender.broken.lock().unwrap().contains(&to)).await;
+        wait_until(|| links.send(&to, address, &"after".to_owned())).await;
+        wait_until(|| received.frames.lock().unwrap().iter().any(|(_, frame)| frame == "after")).await;
+        assert!(received.frames.lock().unwrap().iter().all(|(_, frame)| frame != "lost"));
     });
 }
--- a/crates/stairvale-wire/benches/frame.rs
+++ b/crates/stairvale-wire/benches/frame.rs
@@ -1,4 +1,4 @@
-//! Coding of the frames of a request, and of a renewal by its number of permits.
+//! Cost of encoding and decoding a permit request, and of encoding a renewal by its number of permits.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/stairvale-wire/src/frame.rs
+++ b/crates/stairvale-wire/src/frame.rs
@@ -8,157 +8,162 @@
 
 use crate::{Vm, Word};
 
-/// What one router tells another.
+/// A message on a stream from one router to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame of a stream.
+    /// The first frame of a stream, which identifies the sender.
     Hello {
         /// [`crate::VERSION`] of the sender.
         version: u16,
-        /// The sender.
+        /// The sending router.
         from: id::Router,
     },
-    /// An entry asks a home for a permit.
+    /// An entry requests a permit from a home.
     Ask(Ask),
-    /// The entry no longer waits.
+    /// An entry cancels a permit request that it no longer waits for.
     Forget {
-        /// The upstream that was asked for.
+        /// The upstream whose permit was requested.
         upstream: id::Upstream,
-        /// The attempt that waited.
+        /// The attempt whose request is cancelled.
         attempt: id::Attempt,
     },
-    /// The home's answer to an ask.
+    /// A home's answer to a permit request.
     Answer {
-        /// The upstream that was asked for.
+        /// The upstream whose permit was requested.
         upstream: id::Upstream,
-        /// The attempt that asked.
+        /// The attempt that requested it.
         attempt: id::Attempt,
-        /// What the home decided.
+        /// The home's decision.
         verdict: Verdict,
     },
-    /// Permits given back.
+    /// An entry returns permits to a home.
     Release {
-        /// The upstream.
+        /// The upstream that the permits are for.
         upstream: id::Upstream,
-        /// The attempts that ended.
+        /// The attempts that ended, whose permits are released.
         attempts: Vec<id::Attempt>,
     },
-    /// All that an entry holds of one home, so that the home keeps it or learns it anew.
+    /// All permits that an entry holds from one home. The home extends them, and restores those that it has no record
+    /// of.
     Renew {
-        /// A list an upstream.
+        /// The permits of each upstream.
         held: Vec<Held>,
     },
-    /// A home that just took accounts on, or started them anew, asks what the receiver holds there.
+    /// A home that has just taken over accounts, or has restarted its own, requests a [`Frame::Renew`] with the permits
+    /// that the receiver holds from it.
     Recount,
-    /// The first choice's home learns where a chat's prefix went.
+    /// Notifies the home of a chat's first-choice upstream that the chat's prefix is cached on another upstream.
     Moved {
-        /// The chat.
+        /// The chat whose prefix moved.
         chat: id::Chat,
-        /// The first choice.
+        /// The chat's first-choice upstream.
         first: id::Upstream,
-        /// Where the prefix is now.
+        /// The upstream that has the prefix now.
         to: id::Upstream,
     },
-    /// A home's load, or an availability zone's sum, for the mean.
+    /// The load of a home's upstreams, or the sum of an availability zone, from which the mean load is computed.
     Load(Load),
-    /// The mean over a service, back to the homes.
+    /// The load summed over a whole service, from which its homes compute the mean load.
     Mean {
-        /// The service.
+        /// The service that the load belongs to.
         service: id::Service,
-        /// Outstanding requests over all engines that may take work.
+        /// Outstanding requests over all engines that accept work.
         outstanding: u64,
-        /// Those engines.
+        /// The number of engines that accept work.
         engines: u32,
-        /// The fewest requests that wait for any of them.
+        /// The smallest number of requests that wait for any of those engines.
         waiting: u32,
-        /// The engines with the least load, least first.
+        /// The engines with the least load, in ascending order of load.
         emptiest: Vec<(id::Upstream, u32)>,
     },
-    /// An entry could not reach an upstream.
+    /// An entry reports that it could not reach an upstream.
     Trouble {
-        /// Which one.
+        /// The unreachable upstream.
         upstream: id::Upstream,
     },
-    /// Which configuration the sender has; also the answer to [`Frame::FetchManifest`].
+    /// The manifest of the configuration in force at the sender; also the answer to [`Frame::FetchManifest`].
     Manifest(Box<Manifest>),
-    /// Asks for the manifest in force.
+    /// Requests the manifest in force at the receiver.
     FetchManifest,
-    /// Asks for chunks by name.
+    /// Requests chunks of a document by their digests.
     FetchChunks(Vec<Digest>),
-    /// Chunks that were asked for; those the sender lacks are left out.
+    /// The answer to [`Frame::FetchChunks`]; chunks that the sender doesn't have are left out.
     Chunks(Vec<String>),
-    /// Asks for the list of VMs.
+    /// Requests the receiver's copy of the platform's list of VMs.
     FetchVms,
     /// The platform's list of VMs as of a revision.
     Vms {
-        /// The platform's revision.
+        /// The platform's revision of the list.
         revision: u64,
-        /// The list.
+        /// The VMs on the list.
         vms: Vec<Vm>,
     },
-    /// Asks for all that the receiver knows of upstreams.
+    /// Requests the receiver's latest status reports of all upstreams.
     FetchWords,
-    /// All that the sender knows of upstreams, for a router that just joined or was cut off.
+    /// The sender's latest status reports of all upstreams, for a router that has just joined or was partitioned from
+    /// the fleet.
     Words(Vec<Word>),
-    /// An entry asks the shard's keeper to claim a key.
+    /// An entry requests a claim on an idempotency key from the owner of the key's shard.
     Claim {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt that will run if the claim stands.
+        /// The attempt that runs if the claim is granted.
         attempt: id::Attempt,
     },
-    /// The keeper's answer.
+    /// The shard owner's answer to a claim request.
     Claimed {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt that asked.
+        /// The attempt that requested the claim.
         attempt: id::Attempt,
-        /// What the record says.
+        /// The state of the claim according to the shard's record.
         verdict: ClaimVerdict,
     },
-    /// What became of a claimed request.
+    /// An entry reports the outcome of a claimed request to the shard's owner.
     Settle {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
         /// The attempt that held the claim.
         attempt: id::Attempt,
-        /// The answer, or `None` if it was given back without a byte sent.
+        /// The answer, or `None` if the claim is released because no byte of the request was sent.
         stored: Option<Stored>,
     },
-    /// The keeper has written down what became of a claimed request.
+    /// The shard's owner confirms that the outcome of a claimed request is stored.
     Settled {
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt.
+        /// The attempt that reported the outcome.
         attempt: id::Attempt,
     },
-    /// An engine's home tells its zone's order holder that the engine has another model than the configuration says.
+    /// An engine's home notifies its zone's order holder, the router that issues the zone's model orders, that the
+    /// engine has loaded another model than the configuration names.
     Loaded {
-        /// The engine.
+        /// The engine that has the wrong model.
         upstream: id::Upstream,
-        /// The model that it has.
+        /// The model that the engine has loaded.
         model: String,
-        /// The model's version.
+        /// The loaded model's version.
         version: String,
     },
-    /// What was asked of the sender by customers that have a rate, to the keeper of their accounts.
+    /// The sender's counts of requests from customers with a rate limit, to the owner of those customers' accounts.
     Usage(Vec<Usage>),
-    /// The share of a customer's asks that the receiver may let pass.
+    /// The share of a customer's requests that the receiver may admit.
     Share {
-        /// The customer.
+        /// The customer whose rate is limited.
         customer: id::Customer,
-        /// The share in millionths.
+        /// The admitted share, in millionths.
         millionths: u32,
     },
-    /// The keeper knows what became of a claimed request: whoever asks it from now on is told.
+    /// The shard's owner has received the outcome of a claimed request, though it may not be stored yet. From now on it
+    /// answers repeats of the key with that outcome.
     Noted {
-        /// The attempt.
+        /// The attempt that reported the outcome.
         attempt: id::Attempt,
     },
 }
 
 impl Frame {
-    /// A word for metrics.
+    /// The frame's kind as the value of a metric label; related frames share one.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -184,143 +189,146 @@
     }
 }
 
-/// What one customer asked of one router since it was told last.
+/// The requests of one customer at one router since the router's previous report.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The customer.
+    /// The customer that sent the requests.
     pub customer: id::Customer,
-    /// Requests that came in, refused ones included.
+    /// The number of requests received, including refused ones.
     pub asked: u32,
-    /// Those that passed.
+    /// The number of requests admitted.
     pub passed: u32,
-    /// The share that the router goes by, in millionths.
+    /// The share of requests that the router currently admits, in millionths.
     pub millionths: u32,
 }
 
-/// What a home needs to know of a request.
+/// The properties of a request that a home's decision depends on.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Profile {
-    /// The service.
+    /// The requested service.
     pub service: id::Service,
-    /// Whose request it is, for fair shares.
+    /// The customer that sent the request, for fair sharing between customers.
     pub customer: id::Customer,
-    /// The customer's weight.
+    /// The customer's weight in fair sharing.
     pub weight: u32,
-    /// How urgent it is.
+    /// The request's priority class.
     pub class: Class,
-    /// The chat, if the caller named one.
+    /// The chat that the request belongs to, if the caller named one.
     pub chat: Option<id::Chat>,
-    /// Whether the chat's earlier turns are in the prompt.
+    /// Whether the prompt contains earlier turns of the chat, whose prefix an engine may have cached.
     pub returning: bool,
 }
 
-/// An entry's wish for a permit.
+/// An entry's request for a permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The attempt.
+    /// The attempt that requests the permit.
     pub attempt: id::Attempt,
-    /// The upstream that is asked for.
+    /// The upstream that the permit is for.
     pub upstream: id::Upstream,
-    /// What the request is.
+    /// The properties of the request.
     pub profile: Profile,
-    /// Whether this upstream is the chat's first choice, whose home knows exceptions.
+    /// Whether the upstream is the chat's first choice. Its home records the chats whose prefix is cached elsewhere.
     pub first: bool,
-    /// How long the ask may wait in the queue; zero answers at once.
+    /// How long the permit request may wait in the home's queue; with zero it is answered at once.
     pub patience: Duration,
-    /// What is left until the deadline.
+    /// The time left until the request's deadline.
     pub deadline: Duration,
 }
 
-/// What a home decides about an ask.
+/// A home's decision on a permit request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The upstream may be used.
+    /// The permit is granted.
     Granted {
-        /// The upstream's outstanding requests with this one.
+        /// The upstream's outstanding requests, including this one.
         outstanding: u32,
-        /// Whether the customer holds more than its share there, so that the engine should serve others first.
+        /// Whether the customer holds more than its share of the upstream, so that the engine should serve other
+        /// customers first.
         over_share: bool,
     },
-    /// The chat's prefix sits elsewhere: ask there.
+    /// Another upstream has the chat's prefix in its cache; the entry should request a permit for that one.
     Elsewhere {
-        /// Where.
+        /// The upstream that has the prefix.
         upstream: id::Upstream,
     },
-    /// The upstream is at its bound.
+    /// The upstream has reached its load bound.
     Overflow {
-        /// Where there is room, least load first.
+        /// Upstreams below their bound, in ascending order of load.
         emptiest: Vec<id::Upstream>,
     },
-    /// A final no.
+    /// The request is refused for good; the entry tries no other upstream.
     Refused(Refusal),
-    /// Another router is this upstream's home in the sender's view.
+    /// The sender isn't this upstream's home in its own view of the fleet.
     NotHome {
-        /// Who is.
+        /// The upstream's home in the sender's view, if it has one.
         home: Option<id::Router>,
     },
-    /// The upstream takes no new work.
+    /// The upstream accepts no new work.
     Closed,
 }
 
-/// Permits of one upstream.
+/// The permits that an entry holds for one upstream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    /// The upstream.
+    /// The upstream that the permits are for.
     pub upstream: id::Upstream,
-    /// The attempts that run there.
+    /// The attempts that hold a permit.
     pub attempts: Vec<id::Attempt>,
 }
 
-/// A sum of loads.
+/// The load of a service, summed over the upstreams of one home or of one availability zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// The service.
+    /// The service that the load belongs to.
     pub service: id::Service,
-    /// The availability zone, if this is a zone's sum; otherwise the sender's own homes.
+    /// The availability zone that the sum covers, or `None` if it covers the upstreams whose home is the sender.
     pub zone: Option<id::Zone>,
-    /// Outstanding requests.
+    /// The number of outstanding requests.
     pub outstanding: u64,
-    /// Engines that may take work.
+    /// The number of engines that accept work.
     pub engines: u32,
-    /// The fewest requests that wait for any of them.
+    /// The smallest number of requests that wait for any of those engines.
     pub waiting: u32,
-    /// The engines with the least load, least first.
+    /// The engines with the least load, in ascending order of load.
     pub emptiest: Vec<(id::Upstream, u32)>,
 }
 
-/// What the record of a key says.
+/// The state of a key's claim, as answered to an attempt that requested it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The asking attempt holds the claim and may run, once.
+    /// The requesting attempt holds the claim and may run, once.
     Yours {
-        /// Rises with every claim of the shard; upstreams that check it refuse an older one.
+        /// The fencing token. It increases with every write of the shard's record; upstreams that check it refuse a
+        /// lower one.
         fence: u64,
     },
-    /// Another attempt holds it; whether it ran isn't known yet.
+    /// Another attempt holds the claim, and its outcome hasn't been reported yet.
     Running,
-    /// It ran; this is the answer.
+    /// A request with this key has run; this is its answer.
     Ran(Stored),
-    /// The record can't be read or written; nothing ran under this attempt.
+    /// The shard's record can't be read or written; nothing has run under the requesting attempt.
     Unavailable {
-        /// When asking again is worth it.
+        /// The delay after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// The answer to a request that ran, as far as it is kept.
+/// The stored answer to a request that ran, which repeats of its key receive.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Stored {
-    /// The request that it answers.
+    /// The fingerprint of the request that was answered.
     pub print: id::Print,
-    /// The HTTP status.
+    /// The answer's HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// The answer's `content-type` header.
     pub content_type: String,
-    /// The body, or `None` if it was too large to keep.
+    /// The answer's body, or `None` if it was too large to store.
     pub body: Option<String>,
 }
 
-/// What rebuilding a prefix costs, and moving it instead.
+/// The time that engines spend on a prefix of `tokens` tokens: on computing it again, or on transferring it from
+/// another engine, depending on the rate that is given.
 #[must_use]
 pub fn rebuild(tokens: unit::Tokens, us_per_token: u32) -> Duration {
     Duration::from_micros(u64::from(tokens.0) * u64::from(us_per_token))
--- a/crates/stairvale-wire/src/lib.rs
+++ b/crates/stairvale-wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other: [`Frame`]s on `h2` streams and [`Packet`]s in datagrams, coded by `bincode`.
+//! The messages between routers: [`Frame`]s on `h2` streams and [`Packet`]s in UDP datagrams, encoded with `bincode`.
 //!
 //! ```
 //! use stairvale_wire::{Frame, codec};
@@ -17,5 +17,5 @@
 pub use frame::{Ask, ClaimVerdict, Frame, Held, Load, Profile, Stored, Usage, Verdict};
 pub use packet::{Member, Packet, Status, Update, Vm, Word};
 
-/// The version of frames and packets; a router refuses a peer of another.
+/// The protocol version of frames and packets; a router rejects peers of any other version.
 pub const VERSION: u16 = 6;
--- a/crates/stairvale-wire/src/packet.rs
+++ b/crates/stairvale-wire/src/packet.rs
@@ -1,160 +1,162 @@
-//! Datagrams between routers: probes with news riding along.
+//! Datagrams between routers: failure-detector probes that carry piggybacked updates.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use stairvale_types::id;
 
-/// A probe, its answer, or a request to probe for another; the rules are those of the SWIM paper
-/// (Das, Gupta, Motivala, 2002).
+/// A probe, its acknowledgement, or a request to probe a third router, by the protocol of the SWIM paper (Das, Gupta,
+/// Motivala, 2002).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// [`crate::VERSION`] of the sender.
+    /// The sender's [`crate::VERSION`].
     pub version: u16,
-    /// The sender.
+    /// The sending router.
     pub from: id::Router,
-    /// The configuration's generation at the sender.
+    /// The generation of the configuration in force at the sender.
     pub generation: u64,
-    /// The revision of the sender's list of VMs.
+    /// The revision of the sender's copy of the platform's list of VMs.
     pub vms: u64,
-    /// A digest of all words of upstreams that the sender knows.
+    /// A digest of the sender's latest status reports of all upstreams. Routers whose digests differ exchange them.
     pub words: u64,
-    /// What this packet is.
+    /// The packet's purpose.
     pub body: Body,
-    /// News, the freshest first.
+    /// Piggybacked updates, the most recent first.
     pub updates: Vec<Update>,
 }
 
-/// What a packet is.
+/// The purpose of a packet.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// "Are you there?"
+    /// A probe, which the receiver acknowledges.
     Ping {
-        /// Comes back in the answer.
+        /// The probe's number, repeated in the [`Body::Ack`].
         probe: u64,
     },
-    /// "I am."
+    /// The acknowledgement of a [`Body::Ping`].
     Ack {
-        /// From the ping.
+        /// The number of the acknowledged probe.
         probe: u64,
     },
-    /// "Ask `target` for me."
+    /// A request to probe `target` on the sender's behalf (SWIM's `ping-req`).
     Indirect {
-        /// The asker's own number.
+        /// The number of the requester's own probe.
         probe: u64,
-        /// Whom to ask.
+        /// The router to probe.
         target: id::Router,
     },
-    /// Only news.
+    /// No probe: the packet only carries updates.
     News,
 }
 
-/// One piece of news.
+/// A change that routers disseminate by gossip.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// About a router.
+    /// The status of a router.
     Member(Member),
-    /// About an upstream.
+    /// The status of an upstream.
     Upstream(Word),
 }
 
-/// How a router is.
+/// The liveness of a router.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// The router answers probes.
     Alive,
-    /// It didn't answer lately.
+    /// The router didn't answer recent probes.
     Suspect,
-    /// It stops as planned: no homes, no new callers.
+    /// The router shuts down as planned: it is no longer a home and accepts no new callers.
     Leaving,
-    /// It is gone; only a higher incarnation comes back.
+    /// The router was declared dead; it can only rejoin with a higher incarnation.
     Dead,
 }
 
-/// A router as others know it.
+/// The membership entry of a router.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The router's name.
     pub router: id::Router,
-    /// Its availability zone.
+    /// The router's availability zone.
     pub zone: id::Zone,
-    /// Where its peers reach it: streams by TCP, probes by UDP.
+    /// The address for its peers, both for streams (TCP) and for probes (UDP).
     pub address: SocketAddr,
-    /// Its life.
+    /// The incarnation of the router's process.
     pub incarnation: id::Incarnation,
-    /// How it is.
+    /// The router's liveness.
     pub status: Status,
-    /// Its VM's share of a processor, in hundredths of a core. Work for others goes to the strongest.
+    /// The CPU share of the router's VM, in hundredths of a core. Work on behalf of other routers is assigned to those
+    /// with the most.
     pub strength: u32,
 }
 
 impl Member {
-    /// The strength of routers whose VMs are taken as alike: a whole core.
+    /// The strength of a whole core, used where all VMs are assumed to be equally fast.
     pub const ALIKE: u32 = 100;
 }
 
-/// What is known of an upstream's willingness, ordered by the upstream's own counters, so no clocks are compared.
+/// A status report of an upstream. Reports are ordered by the upstream's and its prober's counters rather than by time,
+/// so that clocks needn't agree.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Word {
-    /// The upstream.
+    /// The upstream that is reported on.
     pub upstream: id::Upstream,
-    /// Its life, by its own count.
+    /// The upstream's own incarnation counter.
     pub boot: u64,
-    /// Its own count of changes in this life.
+    /// The upstream's count of its state changes in this incarnation.
     pub change: u64,
-    /// The prober's count of reached/unreached flips after that change.
+    /// The prober's count of transitions between reachable and unreachable since that change.
     pub reach: u64,
-    /// What it is.
+    /// The reported state.
     pub state: State,
 }
 
 impl Word {
-    /// Later words win.
+    /// The key by which reports of one upstream are ordered: the higher one supersedes the other.
     #[must_use]
     pub fn order(&self) -> (u64, u64, u64) {
         (self.boot, self.change, self.reach)
     }
 }
 
-/// What an upstream says of itself, or its prober of it.
+/// The state of an upstream as reported by itself or, if it is unreachable, by its prober.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes work.
+    /// The upstream accepts work.
     Serving,
-    /// It finishes what it has.
+    /// The upstream completes its outstanding requests and accepts no new ones.
     Draining,
-    /// Its prober can't reach it.
+    /// The upstream's prober can't reach it.
     Unreachable,
 }
 
-/// What a VM does.
+/// The role of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It runs a router.
+    /// The VM runs a router.
     Router,
-    /// It runs an upstream.
+    /// The VM runs an upstream.
     Upstream,
 }
 
-/// A line of the platform's list.
+/// An entry of the platform's list of VMs.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The router's or upstream's name.
+    /// The name of the router or upstream that runs on the VM.
     pub name: String,
-    /// What it does.
+    /// Whether the VM runs a router or an upstream.
     pub role: Role,
-    /// Its availability zone.
+    /// The VM's availability zone.
     pub zone: id::Zone,
-    /// The service that an upstream belongs to.
+    /// The service that the upstream belongs to; `None` for a router.
     #[serde(default)]
     pub service: Option<id::Service>,
-    /// Where it is reached.
+    /// The address of the router or upstream.
     pub address: SocketAddr,
-    /// Its capacity beside others' of the service; 1 is usual.
+    /// The upstream's capacity relative to others of the service; 1 is the default.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Whether the platform takes it away.
+    /// Whether the platform is about to remove the VM.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/stairvale-wire/tests/codec.rs
+++ b/crates/stairvale-wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Frames come back as they were sent, in whatever pieces; any other bytes are an error, never a panic.
+//! Frames decode to what was encoded, however the stream is cut into chunks; any other bytes give an error, never a
+//! panic.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -45,21 +46,21 @@
 }
 
 #[test]
-fn an_ask_is_small() {
+fn a_permit_request_is_small() {
     let size = codec::encode(&frames()[0]).unwrap().len();
-    assert!(size < 120, "an ask has {size} bytes; docs/CAPACITY.md counts on 120");
+    assert!(size < 120, "a permit request takes {size} bytes; docs/CAPACITY.md assumes fewer than 120");
 }
 
 #[test]
-fn a_hostile_length_is_refused_before_anything_is_kept() {
+fn a_hostile_length_prefix_is_rejected_before_the_body_arrives() {
     let mut buffer = codec::Buffer::default();
     buffer.extend(&u32::MAX.to_be_bytes());
     assert_eq!(buffer.take::<Frame>(), Err(codec::Error::Large(u32::MAX as usize)));
 }
 
 #[test]
-fn a_hostile_length_inside_a_frame_takes_no_memory() {
-    // A list that says it has 2^60 items.
+fn a_hostile_length_inside_a_frame_allocates_no_memory() {
+    // Replaces the length of the empty list by 2^60.
     let mut packed = codec::pack(&Frame::Release { upstream: "e".parse().unwrap(), attempts: Vec::new() }).unwrap();
     packed.pop();
     packed.extend_from_slice(&[253, 0, 0, 0, 0, 0, 0, 0, 16]);
@@ -67,26 +68,26 @@
 }
 
 quickcheck! {
-    fn frames_come_back_in_any_pieces(cuts: Vec<usize>) -> bool {
+    fn frames_decode_from_any_chunks(cuts: Vec<usize>) -> bool {
         let sent = frames();
         let bytes: Vec<u8> = sent.iter().flat_map(|frame| codec::encode(frame).unwrap().to_vec()).collect();
         let mut cuts: Vec<_> = cuts.into_iter().map(|cut| cut % bytes.len()).collect();
         cuts.sort_unstable();
         cuts.push(bytes.len());
         let mut buffer = codec::Buffer::default();
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         let mut start = 0;
         for cut in cuts {
             buffer.extend(&bytes[start..cut]);
             start = cut;
             while let Some(frame) = buffer.take::<Frame>().unwrap() {
-                got.push(frame);
+                received.push(frame);
             }
         }
-        got == sent
+        received == sent
     }
 
-    fn any_bytes_are_a_frame_or_an_error(bytes: Vec<u8>) -> bool {
+    fn any_bytes_decode_or_give_an_error(bytes: Vec<u8>) -> bool {
         let _ = codec::unpack::<Frame>(&bytes);
         let _ = codec::unpack::<Packet>(&bytes);
         let mut buffer = codec::Buffer::default();
@@ -95,9 +96,9 @@
         true
     }
 
-    fn damage_is_a_frame_or_an_error(which: usize, at: usize, byte: u8) -> TestResult {
+    fn a_damaged_frame_decodes_or_gives_an_error(index: usize, at: usize, byte: u8) -> TestResult {
         let all = frames();
-        let mut packed = codec::pack(&all[which % all.len()]).unwrap();
+        let mut packed = codec::pack(&all[index % all.len()]).unwrap();
         let at = at % packed.len();
         packed[at] = byte;
         let _ = codec::unpack::<Frame>(&packed);
