--- a/crates/stairvale-claim/examples/growth.rs
+++ b/crates/stairvale-claim/examples/growth.rs
@@ -1,4 +1,4 @@
-//! How a shard's writes and bytes grow with the claims a second: the figures of docs/MEASUREMENTS.md.
+//! Prints how a shard's writes and written bytes per claim depend on the rate of claims.
 
 #![allow(clippy::print_stdout, clippy::unwrap_used, clippy::cast_precision_loss)]
 
@@ -11,34 +11,34 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::Stored;
 
-/// What the store takes to answer.
-const STORE: Duration = Duration::from_millis(2);
+/// The store's simulated response time.
+const STORE_LATENCY: Duration = Duration::from_millis(2);
 const TICK: Duration = Duration::from_millis(1);
-const SECONDS: u64 = 60;
+const DURATION_S: u64 = 60;
 
 fn main() {
     println!("claims/s  writes/claim  bytes/claim  segments");
-    for a_second in [1, 10, 100] {
-        run(a_second);
+    for claims_per_s in [1, 10, 100] {
+        run(claims_per_s);
     }
 }
 
-fn run(a_second: u64) {
+fn run(claims_per_s: u64) {
     let mut shard = Shard::new();
     let mut now = Moment::ZERO;
     let mut record: Option<(String, u64)> = None;
-    let mut calls: VecDeque<(Moment, Reply)> = VecDeque::new();
-    let mut claimed = 0;
+    let mut in_flight: VecDeque<(Moment, Reply)> = VecDeque::new();
+    let mut claim_count = 0;
     let entry: id::Router = "entry".parse().unwrap();
-    while now.millis() < SECONDS * 1_000 {
+    while now.millis() < DURATION_S * 1_000 {
         let mut effects = shard.tick(now, now.millis());
-        while claimed * 1_000 < now.millis() * a_second {
-            claimed += 1;
-            let (key, attempt) = (id::Key(claimed.into()), id::Attempt(claimed.into()));
+        while claim_count * 1_000 < now.millis() * claims_per_s {
+            claim_count += 1;
+            let (key, attempt) = (id::Key(claim_count.into()), id::Attempt(claim_count.into()));
             effects.extend(shard.claim(now, now.millis(), entry.clone(), key, attempt));
         }
-        while calls.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, reply) = calls.pop_front().unwrap();
+        while in_flight.front().is_some_and(|(at, _)| *at <= now) {
+            let (_, reply) = in_flight.pop_front().unwrap();
             effects.extend(shard.reply(now, now.millis(), reply));
         }
         for effect in effects {
@@ -59,12 +59,12 @@
                     continue;
                 }
             };
-            calls.push_back((now + STORE, reply));
+            in_flight.push_back((now + STORE_LATENCY, reply));
         }
         now = now + TICK;
     }
     let counts = shard.counts();
-    let claims = claimed as f64;
+    let claims = claim_count as f64;
     let writes = (counts.writes + counts.sealed) as f64 / claims;
-    println!("{a_second:>8}  {writes:>12.3}  {:>11.0}  {:>8}", counts.written_bytes as f64 / claims, counts.sealed);
+    println!("{claims_per_s:>8}  {writes:>12.3}  {:>11.0}  {:>8}", counts.written_bytes as f64 / claims, counts.sealed);
 }
--- a/crates/stairvale-claim/src/effect.rs
+++ b/crates/stairvale-claim/src/effect.rs
@@ -1,79 +1,79 @@
-//! What a shard's keeper asks for, and what the store answers.
+//! The effects that a shard's owner requests, and the store's replies to them.
 
 use stairvale_types::id;
 use stairvale_wire::ClaimVerdict;
 
-/// What to do.
+/// An action that the caller of a [`crate::Shard`] performs for it: a call to the store or a message to an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Read the record.
+    /// Read the shard's record from the store.
     Read,
-    /// Write the record if its revision is still this one (zero: if there is none).
+    /// Replace the shard's record by compare-and-swap.
     Write {
-        /// The record.
+        /// The encoded record.
         text: String,
-        /// The revision that it replaces.
+        /// The revision that the stored record must still have; zero if no record may exist.
         revision: u64,
     },
-    /// Read a segment.
+    /// Read a segment from the store.
     ReadSegment {
-        /// Its name.
+        /// The segment's name.
         id: String,
     },
-    /// Create a segment, under a lease that outlasts its claims.
+    /// Create a segment in the store, under a lease that outlasts its claims.
     WriteSegment {
-        /// Its name.
+        /// The segment's name.
         id: String,
-        /// Its text.
+        /// The encoded claims.
         text: String,
     },
-    /// Tell an entry that this keeper knows what became of its request, though it isn't written down yet.
+    /// Confirm to an entry that this owner has received the outcome of its request, though it isn't stored yet.
     Noted {
-        /// The entry.
+        /// The entry that reported the outcome.
         to: id::Router,
-        /// The attempt.
+        /// The attempt that ran.
         attempt: id::Attempt,
     },
-    /// Tell an entry that what became of its request is kept.
+    /// Confirm to an entry that it needn't report the outcome of its request again: it is stored, or no longer applies.
     Settled {
-        /// The entry.
+        /// The entry that reported the outcome.
         to: id::Router,
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt.
+        /// The attempt that ran.
         attempt: id::Attempt,
     },
-    /// Tell an entry what the record says.
+    /// Answer an entry's claim request.
     Answer {
-        /// The entry.
+        /// The entry that requested the claim.
         to: id::Router,
-        /// The key.
+        /// The idempotency key.
         key: id::Key,
-        /// The attempt.
+        /// The attempt that requested the claim.
         attempt: id::Attempt,
-        /// What the record says.
+        /// The state of the claim.
         verdict: ClaimVerdict,
     },
 }
 
-/// What came of a call to the store.
+/// The result of a call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The record and its revision; `None` if there is none.
+    /// The record that was read and its revision; `None` if there is no record.
     Read(Option<(String, u64)>),
-    /// The write took effect; this is its revision.
+    /// The write took effect and gave the record this revision.
     Written(u64),
-    /// Another write came first.
+    /// The write took no effect, since the record's revision had changed.
     Conflict,
-    /// A segment, or that there is none.
+    /// The segment that was read.
     Segment {
-        /// Its name.
+        /// The segment's name.
         id: String,
-        /// Its text.
+        /// The encoded claims; `None` if the segment doesn't exist.
         text: Option<String>,
     },
-    /// A segment was created, or was there already.
+    /// The segment was created, or existed already.
     SegmentWritten,
-    /// No answer: a write may or may not have taken effect.
+    /// The store didn't answer; a write may or may not have taken effect.
     Lost,
 }
--- a/crates/stairvale-claim/src/record.rs
+++ b/crates/stairvale-claim/src/record.rs
@@ -1,4 +1,4 @@
-//! A shard's record as it stands in the platform's store.
+//! The format of a shard's record and segments in the platform's store.
 
 use std::collections::BTreeMap;
 
@@ -7,99 +7,103 @@
 use stairvale_types::id;
 use stairvale_wire::{Stored, codec};
 
-/// The largest body that is kept, in bytes.
-pub const MAX_BODY: usize = 1_024;
-/// A record takes no more claims at this size, in bytes; the store's values hold a megabyte.
-pub const MAX_RECORD: usize = 900_000;
-/// How long a claim is kept, in milliseconds: a repeat of the key within this time is recognised.
+/// The largest body of an answer that is stored, in bytes.
+pub const MAX_BODY_BYTES: usize = 1_024;
+/// Limits the size of a record that takes new claims, and of a segment, in bytes. The store's values hold at most a
+/// megabyte.
+pub const MAX_RECORD_BYTES: usize = 900_000;
+/// How long a claim is stored, in milliseconds. A repeat of its key within this time is recognised.
 pub const KEEP_MS: u64 = 3_600_000;
 
-/// A claim.
+/// A claim of an attempt on an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that holds it.
+    /// The attempt that holds the claim.
     pub attempt: id::Attempt,
-    /// When it was made, in milliseconds since 1970 by the writer's clock.
+    /// When the claim was made, in milliseconds since the Unix epoch by the clock of the shard's owner.
     pub at_ms: u64,
-    /// The answer, once it is known.
+    /// The answer to the request, once its entry has reported it.
     pub stored: Option<Stored>,
 }
 
-/// A value that holds claims which no longer change.
+/// A reference to a stored value that holds claims which no longer change.
 ///
-/// Its name is the hash of its content, so writing it twice is harmless. It lives under a lease that outlasts its claims.
+/// Its name is the hash of its content, so writing it twice is harmless. The value has a lease that outlasts its
+/// claims.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Its name.
+    /// The name of the segment's value.
     pub id: String,
-    /// How often its claims were merged: a segment of level n has about [`SEALED`] times [`FANOUT`] to the power n claims.
+    /// How often the segment's claims were merged: a segment of level n has about [`MIN_SEAL_CLAIMS`] times [`FANOUT`]
+    /// to the power of n claims.
     pub level: u8,
-    /// When its youngest claim was made, in milliseconds since 1970.
+    /// When the segment's most recent claim was made, in milliseconds since the Unix epoch.
     pub newest_ms: u64,
 }
 
-/// Claims that no longer change make a segment once they are so many.
-pub const SEALED: usize = 8;
-/// Segments of one level that are merged into one of the next.
+/// The number of claims that no longer change from which on they are sealed into a segment.
+pub const MIN_SEAL_CLAIMS: usize = 8;
+/// The number of segments of one level that are merged into one of the next.
 pub const FANOUT: usize = 16;
 
-/// Claims by key.
+/// Claims by idempotency key.
 pub type Claims = BTreeMap<id::Key, Claim>;
 
-/// A shard's record: young claims themselves, and the names of the segments that hold the others.
+/// A shard's record, which holds recent claims directly and refers to the segments that hold the others.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Rises with each write; a claim's fencing token.
+    /// The number of writes of the record. It is the fencing token of a claim that is granted.
     pub fence: u64,
-    /// Claims that may still change, and young ones.
+    /// Claims that may still change, and those that aren't sealed yet.
     pub claims: Claims,
-    /// The segments.
+    /// The segments that hold all other claims.
     pub segments: Vec<Segment>,
 }
 
-/// The bytes in the store are no record.
+/// The text in the store isn't a valid record or segment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the store's value is no claim record")]
+#[error("value in the store is not a valid claim record")]
 pub struct Error;
 
-/// What stands before a value of this form; another form gets another mark.
-const MARK: &str = "2:";
+/// Prefix that identifies the version of the encoding; another encoding gets another prefix.
+const FORMAT_PREFIX: &str = "2:";
 
-/// A value as it goes into the store, which holds text: `bincode` in base64, less than half the size of JSON here.
+/// Encodes a value for the store, which holds text: `bincode` in base64, which for these values takes less than half
+/// the size of JSON.
 pub(crate) fn to_text<T: Serialize>(value: &T) -> String {
     let bytes = codec::pack(value).unwrap_or_else(|_| unreachable!("values are far below the largest frame"));
-    format!("{MARK}{}", STANDARD_NO_PAD.encode(bytes))
+    format!("{FORMAT_PREFIX}{}", STANDARD_NO_PAD.encode(bytes))
 }
 
-/// Reads what [`to_text`] wrote.
+/// Decodes a value encoded by [`to_text`].
 pub(crate) fn from_text<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    let text = text.strip_prefix(MARK).ok_or(Error)?;
+    let text = text.strip_prefix(FORMAT_PREFIX).ok_or(Error)?;
     let bytes = STANDARD_NO_PAD.decode(text).map_err(|_| Error)?;
     codec::unpack(&bytes).map_err(|_| Error)
 }
 
 impl Record {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// [`Error`] for anything that [`Record::to_text`] didn't write.
+    /// [`Error`] for any text that [`Record::to_text`] doesn't produce.
     pub fn parse(text: &str) -> Result<Self, Error> {
         from_text(text)
     }
 
-    /// The record as it goes into the store.
+    /// Encodes the record for the store.
     #[must_use]
     pub fn to_text(&self) -> String {
         to_text(self)
     }
 
-    /// The claim on a key.
+    /// The claim on a key, unless there is none or it is in a segment.
     #[must_use]
     pub fn get(&self, key: id::Key) -> Option<&Claim> {
         self.claims.get(&key)
     }
 
-    /// Drops claims and segments that are kept no longer.
+    /// Removes claims and segments that are older than [`KEEP_MS`].
     pub fn expire(&mut self, now_ms: u64) {
         self.claims.retain(|_, claim| claim.at_ms.saturating_add(KEEP_MS) > now_ms);
         self.segments.retain(|segment| segment.newest_ms.saturating_add(KEEP_MS) > now_ms);
--- a/crates/stairvale-claim/src/seal.rs
+++ b/crates/stairvale-claim/src/seal.rs
@@ -1,51 +1,55 @@
-//! Moving claims that no longer change out of the record, so that a write stays small however many claims are kept.
+//! Moves claims that no longer change out of the record, so that writes of the record stay small however many claims
+//! are stored.
 //!
-//! Segments are merged as in a log-structured merge tree (O'Neil et al., 1996): a claim is written again once a level,
-//! and a new keeper reads few segments.
+//! Segments are merged as in a log-structured merge tree (O'Neil et al., 1996): each claim is rewritten once per level,
+//! and a new owner of the shard has few segments to read.
 
 use std::collections::HashMap;
 
-use crate::record::{Claims, FANOUT, MAX_RECORD, Record, SEALED, Segment, to_text};
+use crate::record::{Claims, FANOUT, MAX_RECORD_BYTES, MIN_SEAL_CLAIMS, Record, Segment, to_text};
 
-/// An unsettled claim this old no longer waits for its answer, in milliseconds.
-const UNSETTLED_KEEP_MS: u64 = 900_000;
-/// The highest level: 2,048 claims of about 100 bytes come within the store's largest value.
+/// Age in milliseconds from which on a claim without an answer is sealed, as its answer is no longer expected.
+const MAX_UNSETTLED_AGE_MS: u64 = 900_000;
+/// The highest level of a segment: its 2,048 claims of about 100 bytes each fit the store's largest value.
 const MAX_LEVEL: u8 = 2;
 
-/// What is to be sealed.
+/// Claims that are to move from the record into a new segment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seal {
     /// The new segment.
     pub segment: Segment,
-    /// Its claims.
+    /// The segment's claims.
     pub claims: Claims,
-    /// Its text.
+    /// The segment's claims, encoded for the store.
     pub text: String,
+    /// The names of the segments that are merged into the new one.
     merged: Vec<String>,
 }
 
 impl Seal {
-    /// Looks whether the record has enough claims that no longer change.
+    /// Seals the record's claims that no longer change, together with segments that are due to be merged with them.
+    /// `None` if there are fewer than [`MIN_SEAL_CLAIMS`] such claims, if a segment to be merged is missing from
+    /// `sealed`, or if the new segment would exceed [`MAX_RECORD_BYTES`].
     #[must_use]
-    pub fn of(record: &Record, sealed: &HashMap<String, Claims>, now_ms: u64) -> Option<Self> {
-        let settled = |claim: &crate::record::Claim| {
-            claim.stored.is_some() || claim.at_ms.saturating_add(UNSETTLED_KEEP_MS) < now_ms
+    pub fn from_record(record: &Record, sealed: &HashMap<String, Claims>, now_ms: u64) -> Option<Self> {
+        let is_final = |claim: &crate::record::Claim| {
+            claim.stored.is_some() || claim.at_ms.saturating_add(MAX_UNSETTLED_AGE_MS) < now_ms
         };
-        let done = record.claims.iter().filter(|(_, claim)| settled(claim));
-        let mut claims: Claims = done.map(|(key, claim)| (*key, claim.clone())).collect();
-        if claims.len() < SEALED {
+        let settled = record.claims.iter().filter(|(_, claim)| is_final(claim));
+        let mut claims: Claims = settled.map(|(key, claim)| (*key, claim.clone())).collect();
+        if claims.len() < MIN_SEAL_CLAIMS {
             return None;
         }
         let mut merged = Vec::new();
         let mut level = 0;
         while level < MAX_LEVEL {
-            let peers: Vec<_> = record.segments.iter().filter(|segment| segment.level == level).collect();
-            if peers.len() + 1 < FANOUT {
+            let same_level: Vec<_> = record.segments.iter().filter(|segment| segment.level == level).collect();
+            if same_level.len() + 1 < FANOUT {
                 break;
             }
-            for peer in peers {
-                claims.extend(sealed.get(&peer.id)?.clone());
-                merged.push(peer.id.clone());
+            for segment in same_level {
+                claims.extend(sealed.get(&segment.id)?.clone());
+                merged.push(segment.id.clone());
             }
             level += 1;
         }
@@ -54,7 +58,7 @@
 
     fn new(claims: Claims, level: u8, merged: Vec<String>) -> Option<Self> {
         let text = to_text(&claims);
-        if text.len() > MAX_RECORD {
+        if text.len() > MAX_RECORD_BYTES {
             return None;
         }
         let newest_ms = claims.values().map(|claim| claim.at_ms).max()?;
@@ -63,7 +67,7 @@
         Some(Self { segment, claims, text, merged })
     }
 
-    /// Puts the segment into the record in place of what it holds.
+    /// Adds the segment to the record and removes the claims and segments that it replaces.
     pub fn apply(&self, record: &mut Record) {
         record.claims.retain(|key, _| !self.claims.contains_key(key));
         record.segments.retain(|segment| !self.merged.contains(&segment.id));
--- a/crates/stairvale-claim/src/shard.rs
+++ b/crates/stairvale-claim/src/shard.rs
@@ -1,7 +1,8 @@
-//! One shard's keeper: it batches claims into compare-and-swap writes and recognises its own after a lost answer.
+//! The owner of a shard, which batches claims into compare-and-swap writes of the shard's record, and recognises its
+//! own claims in the record after the answer to a write was lost.
 //!
-//! Several routers may believe to be a shard's keeper; the compare-and-swap alone decides. Keeping it at one router only
-//! makes the batches larger.
+//! Several routers may act as a shard's owner at the same time. Only the compare-and-swap ensures correctness; having
+//! one owner merely makes the batches larger.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,93 +12,109 @@
 pub use crate::effect::{Effect, Reply};
 use crate::{
     Record,
-    record::{Claim, Claims, KEEP_MS, MAX_BODY, MAX_RECORD, from_text},
+    record::{Claim, Claims, KEEP_MS, MAX_BODY_BYTES, MAX_RECORD_BYTES, from_text},
     seal::Seal,
-    wish::{Settlement, Wish},
+    wish::{PendingClaim, Settlement},
 };
 
-/// When to come back if the store can't be reached.
-const RETRY_UNAVAILABLE: Duration = Duration::from_secs(2);
-/// A claim that couldn't be settled within this time is told that nothing ran.
-const GIVE_UP: Duration = Duration::from_secs(2);
-/// Losing this many compare-and-swaps in a row means that others are faster; the claims are refused.
-const MAX_LOST: u32 = 8;
-/// After the store didn't answer it is left alone for this long.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Settlements that wait for a write at the most; beyond this entries tell theirs again later.
+/// The delay after which callers should retry a request whose claim was refused.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Limits the time that a claim request waits for the store. Later it is answered that nothing ran.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
+/// The number of compare-and-swap conflicts in a row beyond which all waiting claim requests are refused, since other
+/// owners of the shard write faster.
+const MAX_CONFLICTS: u32 = 8;
+/// Delay before the next call to a store that didn't answer.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Limits the number of outcomes that wait for a write. Further ones are dropped without a confirmation, so their
+/// entries report them again later.
 const MAX_SETTLEMENTS: usize = 10_000;
 
-/// The least time between two writes for claims: what comes in meanwhile goes out together. The first doesn't wait.
-const LINGER: Duration = Duration::from_millis(40);
-/// Nobody waits for a settlement, so it goes out with the next claim, or after this long.
-const SETTLE_LINGER: Duration = Duration::from_millis(400);
+/// Minimum time between two writes. Claims that arrive in between are batched into the second; the first claim after a
+/// longer interval isn't delayed.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum time that outcomes wait for a write. No caller waits for them, so they are written together with the next
+/// claim, or after this time.
+const MAX_SETTLEMENT_DELAY: Duration = Duration::from_millis(400);
 
+/// A call to the store whose reply is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
+    /// The record is being read.
     Reading,
-    /// So many segments are still to come.
+    /// Segments are being read; this many haven't arrived yet.
     Fetching(usize),
+    /// A new segment is being written.
     Sealing,
+    /// The record is being written.
     Writing,
 }
 
-/// What a shard counted since its start.
+/// Counters of a shard's owner since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Claims asked for.
+    /// Claim requests received.
     pub claims: u64,
-    /// Writes of the record sent.
+    /// Writes of the record that were sent to the store.
     pub writes: u64,
-    /// Their bytes, and those of segments.
+    /// Bytes of the records and segments that were sent to the store.
     pub written_bytes: u64,
-    /// Segments sealed.
+    /// Segments that were sent to the store.
     pub sealed: u64,
-    /// Claims that a read-back recognised after a lost answer.
+    /// Claims found in the record by the read that follows a write whose answer was lost.
     pub recognised: u64,
-    /// Claims refused because the store didn't answer.
+    /// Claim requests that were answered with [`ClaimVerdict::Unavailable`].
     pub unavailable: u64,
-    /// Broken invariants: any but zero is a fault of the program.
+    /// Violations of invariants; any number but zero shows a bug.
     pub violations: u64,
 }
 
-/// One shard's keeper.
+/// The owner of a shard, as a state machine that performs no I/O itself.
 #[derive(Debug, Default)]
 pub struct Shard {
-    known: Option<(Record, u64)>,
+    /// The cached record, and the revision that the store's record had when it was read or written last. During a
+    /// write: the new record, and the revision that it replaces.
+    cached: Option<(Record, u64)>,
+    /// The cached claims of segments, by the segment's name.
     sealed: HashMap<String, Claims>,
-    /// A segment that was created and goes into the record with the next write.
+    /// A segment that is being created, or was created and is added to the record with the next write.
     seal: Option<Seal>,
     last_write: Option<Moment>,
+    /// The call to the store that is in flight.
     call: Option<Call>,
-    wishes: Vec<Wish>,
+    /// Claim requests that haven't been answered.
+    pending: Vec<PendingClaim>,
+    /// Outcomes that haven't been stored.
     settlements: Vec<Settlement>,
+    /// No call to the store is made before this time, since it didn't answer the last one.
     pause_until: Moment,
-    lost: u32,
-    /// The last write's answer was lost: what the next read shows may be this shard's own doing.
+    /// Compare-and-swap conflicts in a row.
+    conflicts: u32,
+    /// Whether the answer to the last write was lost, so that the record may contain its claims.
     in_doubt: bool,
     counts: Counts,
 }
 
 impl Shard {
-    /// A keeper that has read nothing yet.
+    /// Creates an owner that hasn't read the shard's record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What was counted.
+    /// The owner's counters since its start.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Whether nothing waits here.
+    /// Whether no claim request, outcome or call to the store is pending.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.wishes.is_empty() && self.settlements.is_empty() && self.call.is_none()
+        self.pending.is_empty() && self.settlements.is_empty() && self.call.is_none()
     }
 
-    /// An entry wants to claim a key.
+    /// Handles an entry's request to claim a key for an attempt.
     pub fn claim(
         &mut self,
         now: Moment,
@@ -107,21 +124,21 @@
         attempt: id::Attempt,
     ) -> Vec<Effect> {
         self.counts.claims += 1;
-        if now < self.pause_until && self.known.is_none() {
+        if now < self.pause_until && self.cached.is_none() {
             self.counts.unavailable += 1;
             return vec![unavailable(from, key, attempt)];
         }
-        if let Some(stored) = self.settled(key) {
+        if let Some(stored) = self.waiting_answer(key) {
             return vec![Effect::Answer { to: from, key, attempt, verdict: ClaimVerdict::Ran(stored) }];
         }
-        let doubled = self.wishes.iter().any(|wish| wish.attempt == attempt && wish.key == key);
-        if !doubled {
-            self.wishes.push(Wish { key, attempt, from, since: now, written: false });
+        let duplicate = self.pending.iter().any(|claim| claim.attempt == attempt && claim.key == key);
+        if !duplicate {
+            self.pending.push(PendingClaim { key, attempt, from, since: now, write_sent: false });
         }
         self.advance(now, now_ms)
     }
 
-    /// A claimed request ended.
+    /// Handles an entry's report of the outcome of a claimed request. `None` as `stored` releases the claim.
     pub fn settle(
         &mut self,
         now: Moment,
@@ -131,77 +148,80 @@
         attempt: id::Attempt,
         stored: Option<Stored>,
     ) -> Vec<Effect> {
-        let doubled = self.settlements.iter().any(|settlement| settlement.attempt == attempt && settlement.key == key);
-        // An answer is handed out once a keeper knows of it, so that its repeat meets it at any router.
+        let duplicate =
+            self.settlements.iter().any(|settlement| settlement.attempt == attempt && settlement.key == key);
+        // The entry returns an answer to its caller only after the shard's owner has it, so that a repeat of the
+        // request at any router receives the same answer.
         let noted = stored.is_some().then(|| Effect::Noted { to: from.clone(), attempt });
-        if doubled {
+        if duplicate {
             return noted.into_iter().collect();
         }
         if self.settlements.len() >= MAX_SETTLEMENTS {
-            // The entry tells it again until it hears that it is kept.
+            // The entry repeats its report until it receives the confirmation that the outcome is stored.
             return Vec::new();
         }
-        let trim = |mut stored: Stored| {
-            stored.body = stored.body.filter(|body| body.len() <= MAX_BODY);
+        let limit_body = |mut stored: Stored| {
+            stored.body = stored.body.filter(|body| body.len() <= MAX_BODY_BYTES);
             stored
         };
-        let stored = stored.map(trim);
+        let stored = stored.map(limit_body);
         self.settlements.push(Settlement { key, attempt, stored, from: Some(from.clone()), since: now });
         let mut effects: Vec<_> = noted.into_iter().collect();
         effects.extend(self.advance(now, now_ms));
         effects
     }
 
-    /// The store answered.
+    /// Handles the result of a call to the store.
     pub fn reply(&mut self, now: Moment, now_ms: u64, reply: Reply) -> Vec<Effect> {
         if let Reply::Segment { id, text } = reply {
-            return self.fetched(now, now_ms, id, text);
+            return self.segment_read(now, now_ms, id, text);
         }
         let call = self.call.take();
         match (call, reply) {
-            (Some(Call::Reading), Reply::Read(read)) => self.read(now, now_ms, read),
-            (Some(Call::Writing), Reply::Written(revision)) => self.written(now, now_ms, revision),
+            (Some(Call::Reading), Reply::Read(read)) => self.record_read(now, now_ms, read),
+            (Some(Call::Writing), Reply::Written(revision)) => self.record_written(now, now_ms, revision),
             (Some(Call::Sealing), Reply::SegmentWritten) => self.advance(now, now_ms),
             (Some(Call::Writing), Reply::Conflict) => {
-                self.forget_known();
-                self.lost += 1;
+                self.drop_cached_record();
+                self.conflicts += 1;
                 self.advance(now, now_ms)
             }
-            (Some(call), Reply::Lost) => self.unanswered(now, call),
+            (Some(call), Reply::Lost) => self.call_lost(now, call),
             (Some(_) | None, _) => {
-                self.forget_known();
+                self.drop_cached_record();
                 Vec::new()
             }
         }
     }
 
-    /// Lets time pass.
+    /// Handles the passing of time; to be called regularly.
     pub fn tick(&mut self, now: Moment, now_ms: u64) -> Vec<Effect> {
-        let mut effects = self.give_up(now);
+        let mut effects = self.refuse_overdue(now);
         effects.extend(self.advance(now, now_ms));
         effects
     }
 
     // ------------------------------------------------------------------------
 
-    /// The answer of a key that ran, if it waits here to be written down.
-    fn settled(&self, key: id::Key) -> Option<Stored> {
+    /// The answer to a request with this key, if its outcome waits to be stored.
+    fn waiting_answer(&self, key: id::Key) -> Option<Stored> {
         let settlement = self.settlements.iter().find(|settlement| settlement.key == key)?;
         settlement.stored.clone()
     }
 
-    /// Answers what the known record answers, and writes the rest.
+    /// Makes the next call to the store, if one is needed and possible, and answers the claim requests that the cached
+    /// record answers.
     fn advance(&mut self, now: Moment, now_ms: u64) -> Vec<Effect> {
-        if self.call.is_some() || (self.wishes.is_empty() && self.settlements.is_empty()) {
+        if self.call.is_some() || (self.pending.is_empty() && self.settlements.is_empty()) {
             return Vec::new();
         }
         if now < self.pause_until {
             return Vec::new();
         }
-        if self.lost > MAX_LOST {
+        if self.conflicts > MAX_CONFLICTS {
             return self.refuse_all();
         }
-        let Some((record, revision)) = self.known.clone() else {
+        let Some((record, revision)) = self.cached.clone() else {
             self.call = Some(Call::Reading);
             return vec![Effect::Read];
         };
@@ -210,25 +230,27 @@
             self.call = Some(Call::Fetching(missing.len()));
             return missing.iter().map(|segment| Effect::ReadSegment { id: segment.id.clone() }).collect();
         }
-        let mut effects = self.answer_known(&record);
+        let mut effects = self.answer_recorded(&record);
         if self.is_write_due(now) {
             effects.extend(self.seal_or_write(now, now_ms, record, revision));
         }
         effects
     }
 
+    /// Whether enough time has passed since the last write, and a claim request or an outcome is due to be written.
     fn is_write_due(&self, now: Moment) -> bool {
-        let lingered = self.last_write.is_none_or(|at| now.since(at) >= LINGER);
-        if !self.wishes.is_empty() {
-            return lingered;
+        let interval_passed = self.last_write.is_none_or(|at| now.since(at) >= MIN_WRITE_INTERVAL);
+        if !self.pending.is_empty() {
+            return interval_passed;
         }
         let oldest = self.settlements.iter().map(|settlement| settlement.since).min();
-        oldest.is_some_and(|since| now.since(since) >= SETTLE_LINGER) && lingered
+        oldest.is_some_and(|since| now.since(since) >= MAX_SETTLEMENT_DELAY) && interval_passed
     }
 
+    /// Writes a new segment if one is due and not created yet, otherwise the record.
     fn seal_or_write(&mut self, now: Moment, now_ms: u64, record: Record, revision: u64) -> Vec<Effect> {
         if self.seal.is_none() {
-            self.seal = Seal::of(&record, &self.sealed, now_ms);
+            self.seal = Seal::from_record(&record, &self.sealed, now_ms);
             if let Some(seal) = &self.seal {
                 self.call = Some(Call::Sealing);
                 self.counts.sealed += 1;
@@ -239,22 +261,23 @@
         self.write(now, now_ms, record, revision)
     }
 
-    /// Answers wishes whose key the record or a segment has already.
-    fn answer_known(&mut self, record: &Record) -> Vec<Effect> {
+    /// Answers the claim requests whose key already has a claim in the record or in a segment.
+    fn answer_recorded(&mut self, record: &Record) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let wishes = std::mem::take(&mut self.wishes);
-        for wish in wishes {
-            let sealed = || self.sealed.values().find_map(|claims| claims.get(&wish.key));
-            let Some(claim) = record.get(wish.key).or_else(sealed) else {
-                self.wishes.push(wish);
+        let requests = std::mem::take(&mut self.pending);
+        for request in requests {
+            let sealed = || self.sealed.values().find_map(|claims| claims.get(&request.key));
+            let Some(claim) = record.get(request.key).or_else(sealed) else {
+                self.pending.push(request);
                 continue;
             };
-            let verdict = wish.verdict(claim, record.fence);
-            effects.push(wish.answer(verdict));
+            let verdict = request.verdict(claim, record.fence);
+            effects.push(request.answer(verdict));
         }
         effects
     }
 
+    /// Writes the record with all pending changes, if there are any.
     fn write(&mut self, now: Moment, now_ms: u64, mut record: Record, revision: u64) -> Vec<Effect> {
         let before = record.clone();
         record.expire(now_ms);
@@ -264,35 +287,37 @@
         for settlement in &self.settlements {
             settlement.apply(&mut record);
         }
-        for wish in &self.wishes {
-            // The first of two wishes for one key gets it; the second is answered from the record after the write.
-            let claim = Claim { attempt: wish.attempt, at_ms: now_ms, stored: None };
-            record.claims.entry(wish.key).or_insert(claim);
+        for request in &self.pending {
+            // Of two requests for one key the first gets the claim; the second is answered from the record after the
+            // write.
+            let claim = Claim { attempt: request.attempt, at_ms: now_ms, stored: None };
+            record.claims.entry(request.key).or_insert(claim);
         }
         if record == before {
-            return self.drop_settled(&record);
+            return self.confirm_settled(&record);
         }
         record.fence += 1;
         let text = record.to_text();
-        if text.len() > MAX_RECORD && !self.wishes.is_empty() {
+        if text.len() > MAX_RECORD_BYTES && !self.pending.is_empty() {
             return self.refuse_all();
         }
         self.counts.writes += 1;
         self.counts.written_bytes += text.len() as u64;
         self.call = Some(Call::Writing);
         self.last_write = Some(now);
-        for wish in &mut self.wishes {
-            wish.written = true;
+        for request in &mut self.pending {
+            request.write_sent = true;
         }
-        // What was written counts only once the store has said so.
-        self.known = Some((record, revision));
+        // Nothing is answered from this record before the store has confirmed the write.
+        self.cached = Some((record, revision));
         vec![Effect::Write { text, revision }]
     }
 
-    fn written(&mut self, now: Moment, now_ms: u64, revision: u64) -> Vec<Effect> {
-        self.lost = 0;
+    /// Handles a write of the record that took effect.
+    fn record_written(&mut self, now: Moment, now_ms: u64, revision: u64) -> Vec<Effect> {
+        self.conflicts = 0;
         self.in_doubt = false;
-        let Some((record, old)) = self.known.take() else {
+        let Some((record, old)) = self.cached.take() else {
             return Vec::new();
         };
         if revision <= old {
@@ -302,110 +327,119 @@
             self.sealed.insert(seal.segment.id, seal.claims);
         }
         self.sealed.retain(|id, _| record.segments.iter().any(|segment| &segment.id == id));
-        let mut effects = self.drop_settled(&record);
-        effects.extend(self.answer_known(&record));
-        self.known = Some((record, revision));
+        let mut effects = self.confirm_settled(&record);
+        effects.extend(self.answer_recorded(&record));
+        self.cached = Some((record, revision));
         effects.extend(self.advance(now, now_ms));
         effects
     }
 
-    /// Settlements that the record has, or that no longer concern it, are done with.
-    fn drop_settled(&mut self, record: &Record) -> Vec<Effect> {
+    /// Removes the outcomes that the record contains, or that no longer apply to it, and confirms them to their
+    /// entries.
+    fn confirm_settled(&mut self, record: &Record) -> Vec<Effect> {
         let done: Vec<_> = self.settlements.extract_if(.., |settlement| !settlement.applies(record)).collect();
-        let told = done.into_iter().filter_map(|settlement| {
+        let confirmations = done.into_iter().filter_map(|settlement| {
             let Settlement { key, attempt, from, .. } = settlement;
             Some(Effect::Settled { to: from?, key, attempt })
         });
-        told.collect()
+        confirmations.collect()
     }
 
-    fn read(&mut self, now: Moment, now_ms: u64, read: Option<(String, u64)>) -> Vec<Effect> {
+    /// Handles a read of the record.
+    fn record_read(&mut self, now: Moment, now_ms: u64, read: Option<(String, u64)>) -> Vec<Effect> {
         let parsed = match read {
             None => Some((Record::default(), 0)),
             Some((text, revision)) => Record::parse(&text).ok().map(|record| (record, revision)),
         };
         let Some((record, revision)) = parsed else {
-            // A value that isn't a record must not be overwritten: nobody can tell what it says has run.
+            // A value that isn't a valid record must not be overwritten, since it can't be determined which requests it
+            // recorded.
             return self.refuse_all();
         };
         if self.in_doubt {
-            let own = |wish: &&Wish| record.get(wish.key).is_some_and(|claim| claim.attempt == wish.attempt);
-            self.counts.recognised += self.wishes.iter().filter(own).count() as u64;
+            let own =
+                |request: &&PendingClaim| record.get(request.key).is_some_and(|claim| claim.attempt == request.attempt);
+            self.counts.recognised += self.pending.iter().filter(own).count() as u64;
             self.in_doubt = false;
         }
-        self.known = Some((record, revision));
+        self.cached = Some((record, revision));
         self.advance(now, now_ms)
     }
 
-    /// A segment came in, or it turned out that there is none.
-    fn fetched(&mut self, now: Moment, now_ms: u64, id: String, text: Option<String>) -> Vec<Effect> {
+    /// Handles a read of a segment, including one that doesn't exist.
+    fn segment_read(&mut self, now: Moment, now_ms: u64, id: String, text: Option<String>) -> Vec<Effect> {
         let Some(Call::Fetching(left)) = self.call else {
             return Vec::new();
         };
         self.call = if left > 1 { Some(Call::Fetching(left - 1)) } else { None };
         let claims = match text {
             Some(text) => from_text(&text).ok(),
-            None => self.lapsed(&id, now_ms).then(Claims::default),
+            None => self.is_expired(&id, now_ms).then(Claims::default),
         };
         let Some(claims) = claims else {
-            // What it said has run can't be told any more; better no answer than a wrong one.
+            // It can't be determined which requests the segment recorded, so refusing claims is safer than granting
+            // them.
             self.call = None;
-            self.forget_known();
-            self.pause_until = now + PAUSE;
+            self.drop_cached_record();
+            self.pause_until = now + STORE_RETRY_DELAY;
             return self.refuse_all();
         };
         self.sealed.insert(id, claims);
         self.advance(now, now_ms)
     }
 
-    /// Whether all claims of a segment are kept no longer.
-    fn lapsed(&self, id: &str, now_ms: u64) -> bool {
-        let segments = self.known.iter().flat_map(|(record, _)| &record.segments);
+    /// Whether all claims of a segment are older than [`KEEP_MS`], or the cached record doesn't refer to it.
+    fn is_expired(&self, id: &str, now_ms: u64) -> bool {
+        let segments = self.cached.iter().flat_map(|(record, _)| &record.segments);
         let segment = segments.into_iter().find(|segment| segment.id == id);
         segment.is_none_or(|segment| segment.newest_ms.saturating_add(KEEP_MS) <= now_ms)
     }
 
-    fn forget_known(&mut self) {
-        self.known = None;
+    fn drop_cached_record(&mut self) {
+        self.cached = None;
         self.seal = None;
     }
 
-    fn unanswered(&mut self, now: Moment, call: Call) -> Vec<Effect> {
-        self.forget_known();
+    /// Handles a call that the store didn't answer.
+    fn call_lost(&mut self, now: Moment, call: Call) -> Vec<Effect> {
+        self.drop_cached_record();
         self.in_doubt |= call == Call::Writing;
-        self.pause_until = now + PAUSE;
+        self.pause_until = now + STORE_RETRY_DELAY;
         if call != Call::Writing && !self.in_doubt {
-            // Nothing was written for those who wait: they can be told so at once.
+            // No write for the waiting requests can have taken effect, so they are refused at once.
             return self.refuse_all();
         }
-        self.give_up(now)
+        self.refuse_overdue(now)
     }
 
-    /// Those who waited too long are told that nothing ran under their attempt, and the claim is given back when the
-    /// store answers again.
-    fn give_up(&mut self, now: Moment) -> Vec<Effect> {
-        let overdue: Vec<_> = self.wishes.extract_if(.., |wish| now.since(wish.since) >= GIVE_UP).collect();
-        overdue.into_iter().map(|wish| self.refuse(wish)).collect()
+    /// Answers requests that have waited for [`CLAIM_TIMEOUT`] that nothing ran under their attempt. Their claims are
+    /// released when the store answers again.
+    fn refuse_overdue(&mut self, now: Moment) -> Vec<Effect> {
+        let overdue: Vec<_> =
+            self.pending.extract_if(.., |request| now.since(request.since) >= CLAIM_TIMEOUT).collect();
+        overdue.into_iter().map(|request| self.refuse(request)).collect()
     }
 
     fn refuse_all(&mut self) -> Vec<Effect> {
-        self.lost = 0;
-        let wishes = std::mem::take(&mut self.wishes);
-        wishes.into_iter().map(|wish| self.refuse(wish)).collect()
+        self.conflicts = 0;
+        let requests = std::mem::take(&mut self.pending);
+        requests.into_iter().map(|request| self.refuse(request)).collect()
     }
 
-    fn refuse(&mut self, wish: Wish) -> Effect {
+    /// Answers a request that nothing ran, and releases its claim if a write may have stored it.
+    fn refuse(&mut self, request: PendingClaim) -> Effect {
         self.counts.unavailable += 1;
-        if wish.written && self.settlements.len() < MAX_SETTLEMENTS {
-            // The write may have taken effect: give the claim back, so that the caller's next try can run. An entry asks
-            // once for an attempt and starts nothing after a no, so nothing can run under this claim.
-            let (key, attempt, since) = (wish.key, wish.attempt, wish.since);
+        if request.write_sent && self.settlements.len() < MAX_SETTLEMENTS {
+            // The write may have taken effect, so the claim is released to let the caller's next try run. An entry
+            // requests a claim once per attempt and sends nothing after a refusal, so nothing can run under this claim.
+            let (key, attempt, since) = (request.key, request.attempt, request.since);
             self.settlements.push(Settlement { key, attempt, stored: None, from: None, since });
         }
-        unavailable(wish.from, wish.key, wish.attempt)
+        unavailable(request.from, request.key, request.attempt)
     }
 }
 
+/// The answer to a claim request that is refused.
 fn unavailable(to: id::Router, key: id::Key, attempt: id::Attempt) -> Effect {
-    Effect::Answer { to, key, attempt, verdict: ClaimVerdict::Unavailable { retry_after: RETRY_UNAVAILABLE } }
+    Effect::Answer { to, key, attempt, verdict: ClaimVerdict::Unavailable { retry_after: RETRY_AFTER } }
 }
--- a/crates/stairvale-claim/tests/shard.rs
+++ b/crates/stairvale-claim/tests/shard.rs
@@ -1,4 +1,5 @@
-//! A shard's keepers against a store that loses answers: nothing is claimed twice, nothing that ran is forgotten.
+//! Runs one or two owners of a shard against a simulated store that may lose answers: no key may be claimed twice, and
+//! no recorded outcome may be lost.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -12,7 +13,7 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire::{ClaimVerdict, Stored};
 
-/// The store's record and segments; it decides from a list of bytes which answers are lost.
+/// A simulated store with one record and its segments. The bytes of `losses` determine which answers are lost.
 #[derive(Default)]
 struct Store {
     record: Option<(String, u64)>,
@@ -22,7 +23,7 @@
 }
 
 impl Store {
-    fn loses(&mut self) -> bool {
+    fn loses_answer(&mut self) -> bool {
         self.calls += 1;
         !self.losses.is_empty() && self.losses[self.calls % self.losses.len()].is_multiple_of(4)
     }
@@ -46,13 +47,14 @@
             }
             Effect::Settled { .. } | Effect::Noted { .. } | Effect::Answer { .. } => return None,
         };
-        if self.loses() { Some(Reply::Lost) } else { Some(reply) }
+        if self.loses_answer() { Some(Reply::Lost) } else { Some(reply) }
     }
 }
 
-struct Bench {
+/// Owners of one shard with their store, and the answers that entries received.
+struct Harness {
     store: Store,
-    keepers: Vec<Shard>,
+    owners: Vec<Shard>,
     now: Moment,
     answers: HashMap<id::Attempt, ClaimVerdict>,
     settled: Vec<id::Attempt>,
@@ -60,11 +62,11 @@
 
 const NOW_MS: u64 = 1_700_000_000_000;
 
-impl Bench {
-    fn new(keepers: usize, losses: Vec<u8>) -> Self {
+impl Harness {
+    fn new(owners: usize, losses: Vec<u8>) -> Self {
         Self {
             store: Store { losses, ..Store::default() },
-            keepers: (0..keepers).map(|_| Shard::new()).collect(),
+            owners: (0..owners).map(|_| Shard::new()).collect(),
             now: Moment::from_millis(1_000),
             answers: HashMap::new(),
             settled: Vec::new(),
@@ -75,7 +77,8 @@
         "entry".parse().unwrap()
     }
 
-    fn effects(&mut self, keeper: usize, effects: Vec<Effect>) {
+    /// Performs the effects of an owner, and those that follow from the store's replies.
+    fn effects(&mut self, owner: usize, effects: Vec<Effect>) {
         for effect in effects {
             match &effect {
                 Effect::Answer { attempt, verdict, .. } => {
@@ -92,8 +95,8 @@
             }
             let reply = self.store.call(&effect).unwrap();
             let now_ms = self.now_ms();
-            let more = self.keepers[keeper].reply(self.now, now_ms, reply);
-            self.effects(keeper, more);
+            let more = self.owners[owner].reply(self.now, now_ms, reply);
+            self.effects(owner, more);
         }
     }
 
@@ -101,13 +104,13 @@
         NOW_MS + self.now.millis()
     }
 
-    fn claim(&mut self, keeper: usize, key: u128, attempt: u128) {
+    fn claim(&mut self, owner: usize, key: u128, attempt: u128) {
         let now_ms = self.now_ms();
-        let effects = self.keepers[keeper].claim(self.now, now_ms, Self::entry(), id::Key(key), id::Attempt(attempt));
-        self.effects(keeper, effects);
+        let effects = self.owners[owner].claim(self.now, now_ms, Self::entry(), id::Key(key), id::Attempt(attempt));
+        self.effects(owner, effects);
     }
 
-    fn settle(&mut self, keeper: usize, key: u128, attempt: u128) {
+    fn settle(&mut self, owner: usize, key: u128, attempt: u128) {
         let stored = Stored {
             print: id::Print(1),
             status: 200,
@@ -115,18 +118,19 @@
             body: Some(format!("answer {attempt}")),
         };
         let (key, attempt, now_ms) = (id::Key(key), id::Attempt(attempt), self.now_ms());
-        let effects = self.keepers[keeper].settle(self.now, now_ms, &Self::entry(), key, attempt, Some(stored));
-        self.effects(keeper, effects);
+        let effects = self.owners[owner].settle(self.now, now_ms, &Self::entry(), key, attempt, Some(stored));
+        self.effects(owner, effects);
     }
 
+    /// Lets time pass in steps of 10 ms.
     fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + Duration::from_millis(10);
-            for keeper in 0..self.keepers.len() {
+            for owner in 0..self.owners.len() {
                 let now_ms = self.now_ms();
-                let effects = self.keepers[keeper].tick(self.now, now_ms);
-                self.effects(keeper, effects);
+                let effects = self.owners[owner].tick(self.now, now_ms);
+                self.effects(owner, effects);
             }
         }
     }
@@ -142,104 +146,110 @@
 
 #[test]
 fn the_first_attempt_gets_the_claim_and_a_repeat_gets_the_answer() {
-    let mut bench = Bench::new(1, Vec::new());
-    bench.claim(0, 7, 1);
-    assert!(bench.is_yours(1));
-    bench.claim(0, 7, 2);
-    assert_eq!(bench.verdict(2), &ClaimVerdict::Running);
-    bench.settle(0, 7, 1);
-    bench.pass(Duration::from_secs(1));
-    assert_eq!(bench.settled, [id::Attempt(1)]);
-    bench.claim(0, 7, 3);
-    assert!(matches!(bench.verdict(3), ClaimVerdict::Ran(stored) if stored.body.as_deref() == Some("answer 1")));
+    let mut harness = Harness::new(1, Vec::new());
+    harness.claim(0, 7, 1);
+    assert!(harness.is_yours(1));
+    harness.claim(0, 7, 2);
+    assert_eq!(harness.verdict(2), &ClaimVerdict::Running);
+    harness.settle(0, 7, 1);
+    harness.pass(Duration::from_secs(1));
+    assert_eq!(harness.settled, [id::Attempt(1)]);
+    harness.claim(0, 7, 3);
+    assert!(matches!(harness.verdict(3), ClaimVerdict::Ran(stored) if stored.body.as_deref() == Some("answer 1")));
 }
 
 #[test]
-fn a_repeat_right_after_the_end_gets_the_answer_before_it_is_written_down() {
-    let mut bench = Bench::new(1, Vec::new());
-    bench.claim(0, 7, 1);
-    bench.settle(0, 7, 1);
-    bench.claim(0, 7, 2);
-    assert!(matches!(bench.verdict(2), ClaimVerdict::Ran(_)), "{:?}", bench.verdict(2));
+fn a_repeat_gets_the_answer_before_it_is_stored() {
+    let mut harness = Harness::new(1, Vec::new());
+    harness.claim(0, 7, 1);
+    harness.settle(0, 7, 1);
+    harness.claim(0, 7, 2);
+    assert!(matches!(harness.verdict(2), ClaimVerdict::Ran(_)), "{:?}", harness.verdict(2));
 }
 
 #[test]
-fn two_keepers_of_one_shard_cannot_both_claim() {
-    let mut bench = Bench::new(2, Vec::new());
-    bench.claim(0, 1, 10);
-    bench.claim(1, 1, 11);
-    bench.pass(Duration::from_secs(1));
-    assert!(bench.is_yours(10) ^ bench.is_yours(11));
+fn two_owners_of_one_shard_cannot_both_claim() {
+    let mut harness = Harness::new(2, Vec::new());
+    harness.claim(0, 1, 10);
+    harness.claim(1, 1, 11);
+    harness.pass(Duration::from_secs(1));
+    assert!(harness.is_yours(10) ^ harness.is_yours(11));
 }
 
 #[test]
-fn a_claim_given_back_can_be_claimed_again() {
-    let mut bench = Bench::new(1, Vec::new());
-    bench.claim(0, 5, 1);
-    let now_ms = bench.now_ms();
-    let effects = bench.keepers[0].settle(bench.now, now_ms, &Bench::entry(), id::Key(5), id::Attempt(1), None);
-    bench.effects(0, effects);
-    bench.pass(Duration::from_secs(1));
-    bench.claim(0, 5, 2);
-    bench.pass(Duration::from_secs(1));
-    assert!(bench.is_yours(2));
+fn a_released_key_can_be_claimed_again() {
+    let mut harness = Harness::new(1, Vec::new());
+    harness.claim(0, 5, 1);
+    let now_ms = harness.now_ms();
+    let effects = harness.owners[0].settle(harness.now, now_ms, &Harness::entry(), id::Key(5), id::Attempt(1), None);
+    harness.effects(0, effects);
+    harness.pass(Duration::from_secs(1));
+    harness.claim(0, 5, 2);
+    harness.pass(Duration::from_secs(1));
+    assert!(harness.is_yours(2));
 }
 
 #[test]
-fn sealed_claims_are_still_known_also_to_a_new_keeper() {
-    let mut bench = Bench::new(2, Vec::new());
+fn sealed_claims_are_recognised_by_a_new_owner() {
+    let mut harness = Harness::new(2, Vec::new());
     const MANY: u128 = 5_000;
     for key in 0..MANY {
-        bench.claim(0, key, key + 1);
-        bench.settle(0, key, key + 1);
-        bench.pass(Duration::from_millis(40));
+        harness.claim(0, key, key + 1);
+        harness.settle(0, key, key + 1);
+        harness.pass(Duration::from_millis(40));
     }
-    bench.pass(Duration::from_secs(1));
-    let record = Record::parse(&bench.store.record.as_ref().unwrap().0).unwrap();
+    harness.pass(Duration::from_secs(1));
+    let record = Record::parse(&harness.store.record.as_ref().unwrap().0).unwrap();
     assert!(record.claims.len() < 64, "{} claims in the record", record.claims.len());
     assert!(record.segments.len() < 48, "{} segments", record.segments.len());
-    assert!(record.segments.iter().any(|segment| segment.level == 2), "nothing was merged twice");
+    assert!(record.segments.iter().any(|segment| segment.level == 2), "no segment was merged twice");
     for key in (0..MANY).step_by(97) {
-        bench.claim(1, key, key + 1_000_000);
-        bench.pass(Duration::from_millis(50));
-        assert!(matches!(bench.verdict(key + 1_000_000), ClaimVerdict::Ran(_)), "key {key} was forgotten");
+        harness.claim(1, key, key + 1_000_000);
+        harness.pass(Duration::from_millis(50));
+        assert!(matches!(harness.verdict(key + 1_000_000), ClaimVerdict::Ran(_)), "the outcome of key {key} was lost");
     }
 }
 
 #[test]
-fn a_missing_segment_means_no_answer_rather_than_a_wrong_one() {
-    let mut bench = Bench::new(2, Vec::new());
+fn a_missing_segment_refuses_claims() {
+    let mut harness = Harness::new(2, Vec::new());
     for key in 0..40 {
-        bench.claim(0, key, key + 1);
-        bench.settle(0, key, key + 1);
-        bench.pass(Duration::from_millis(500));
+        harness.claim(0, key, key + 1);
+        harness.settle(0, key, key + 1);
+        harness.pass(Duration::from_millis(500));
     }
-    assert!(!bench.store.segments.is_empty());
-    bench.store.segments.clear();
-    bench.claim(1, 3, 900);
-    bench.pass(Duration::from_secs(3));
-    assert!(matches!(bench.verdict(900), ClaimVerdict::Unavailable { .. }));
+    assert!(!harness.store.segments.is_empty());
+    harness.store.segments.clear();
+    harness.claim(1, 3, 900);
+    harness.pass(Duration::from_secs(3));
+    assert!(matches!(harness.verdict(900), ClaimVerdict::Unavailable { .. }));
 }
 
 #[test]
-fn a_value_that_is_no_record_is_not_overwritten() {
-    let mut bench = Bench::new(1, Vec::new());
-    bench.store.record = Some(("garbage".into(), 9));
-    bench.claim(0, 3, 1);
-    assert!(matches!(bench.verdict(1), ClaimVerdict::Unavailable { .. }));
-    assert_eq!(bench.store.record.as_ref().unwrap().0, "garbage");
+fn an_invalid_record_is_not_overwritten() {
+    let mut harness = Harness::new(1, Vec::new());
+    harness.store.record = Some(("garbage".into(), 9));
+    harness.claim(0, 3, 1);
+    assert!(matches!(harness.verdict(1), ClaimVerdict::Unavailable { .. }));
+    assert_eq!(harness.store.record.as_ref().unwrap().0, "garbage");
 }
 
 #[test]
-fn with_the_store_down_a_claim_is_refused_at_once() {
-    let mut bench = Bench::new(1, vec![0]);
-    bench.claim(0, 3, 1);
-    assert!(matches!(bench.verdict(1), ClaimVerdict::Unavailable { .. }), "no wait for a deadline");
+fn a_claim_is_refused_at_once_while_the_store_is_down() {
+    let mut harness = Harness::new(1, vec![0]);
+    harness.claim(0, 3, 1);
+    assert!(
+        matches!(harness.verdict(1), ClaimVerdict::Unavailable { .. }),
+        "the claim must be refused before its time-out"
+    );
 }
 
+/// Guards against releasing the claim of a running request: a duplicate of its claim request arrives while the record
+/// is being read again, and is refused because that read is lost. The refusal must not release the claim that was
+/// granted.
 #[test]
-fn a_doubled_ask_that_is_refused_does_not_give_a_running_claim_back() {
-    let (now, entry) = (Moment::from_millis(1_000), Bench::entry());
+fn refusing_a_duplicate_request_does_not_release_a_running_claim() {
+    let (now, entry) = (Moment::from_millis(1_000), Harness::entry());
     let mut shard = Shard::new();
     shard.claim(now, NOW_MS, entry.clone(), id::Key(7), id::Attempt(1));
     let effects = shard.reply(now, NOW_MS, Reply::Read(None));
@@ -249,17 +259,18 @@
     let record = text.clone();
     let effects = shard.reply(now, NOW_MS, Reply::Written(1));
     assert!(matches!(&effects[..], [Effect::Answer { verdict: ClaimVerdict::Yours { .. }, .. }]), "{effects:?}");
-    // Another claim's write meets a conflict, so the record is read again; meanwhile a copy of the first ask comes.
+    // The write of another claim conflicts, so the record is read again; meanwhile a duplicate of the first request
+    // arrives.
     let later = now + Duration::from_millis(100);
     shard.claim(later, NOW_MS, entry.clone(), id::Key(8), id::Attempt(2));
     assert_eq!(shard.reply(later, NOW_MS, Reply::Conflict), [Effect::Read]);
     shard.claim(later, NOW_MS, entry.clone(), id::Key(7), id::Attempt(1));
     let effects = shard.reply(later, NOW_MS, Reply::Lost);
-    assert_eq!(effects.len(), 2, "both are refused: {effects:?}");
-    // The store is back. What was written for the first attempt must still stand after the next write.
-    let back = now + Duration::from_secs(2);
-    assert_eq!(shard.claim(back, NOW_MS, entry, id::Key(9), id::Attempt(3)), [Effect::Read]);
-    let effects = shard.reply(back, NOW_MS, Reply::Read(Some((record, 1))));
+    assert_eq!(effects.len(), 2, "both requests are refused: {effects:?}");
+    // The store answers again. The next write must still contain the first attempt's claim.
+    let recovered = now + Duration::from_secs(2);
+    assert_eq!(shard.claim(recovered, NOW_MS, entry, id::Key(9), id::Attempt(3)), [Effect::Read]);
+    let effects = shard.reply(recovered, NOW_MS, Reply::Read(Some((record, 1))));
     let Some(Effect::Write { text, .. }) = effects.first() else {
         panic!("{effects:?}");
     };
@@ -268,50 +279,51 @@
 }
 
 #[test]
-fn no_key_is_ever_claimed_by_two_attempts() {
-    fn holds(losses: Vec<u8>, moves: Vec<(u8, u8, bool)>) -> TestResult {
-        let mut bench = Bench::new(2, losses);
+fn no_key_is_claimed_by_two_attempts() {
+    fn at_most_one_claim(losses: Vec<u8>, moves: Vec<(u8, u8, bool)>) -> TestResult {
+        let mut harness = Harness::new(2, losses);
         let mut attempt = 0;
-        let mut asked: Vec<(u128, u128)> = Vec::new();
-        for (keeper, key, settles) in moves {
+        let mut requested: Vec<(u128, u128)> = Vec::new();
+        for (owner, key, settles) in moves {
             attempt += 1;
-            let keeper = usize::from(keeper) % 2;
+            let owner = usize::from(owner) % 2;
             let key = u128::from(key) % 6;
-            bench.claim(keeper, key, attempt);
-            asked.push((key, attempt));
-            bench.pass(Duration::from_millis(30));
-            if settles && bench.is_yours(attempt) {
-                bench.settle(1 - keeper, key, attempt);
+            harness.claim(owner, key, attempt);
+            requested.push((key, attempt));
+            harness.pass(Duration::from_millis(30));
+            if settles && harness.is_yours(attempt) {
+                harness.settle(1 - owner, key, attempt);
             }
         }
-        bench.store.losses.clear();
-        bench.pass(Duration::from_secs(4));
-        let violations: u64 = bench.keepers.iter().map(|keeper| keeper.counts().violations).sum();
-        let told = asked.iter().all(|(_, attempt)| bench.answers.contains_key(&id::Attempt(*attempt)));
+        harness.store.losses.clear();
+        harness.pass(Duration::from_secs(4));
+        let violations: u64 = harness.owners.iter().map(|owner| owner.counts().violations).sum();
+        let answered = requested.iter().all(|(_, attempt)| harness.answers.contains_key(&id::Attempt(*attempt)));
         let once = (0..6).all(|key| {
-            let claimants = asked.iter().filter(|(asked, attempt)| *asked == key && bench.is_yours(*attempt));
+            let claimants =
+                requested.iter().filter(|(requested, attempt)| *requested == key && harness.is_yours(*attempt));
             claimants.count() <= 1
         });
-        TestResult::from_bool(once && told && violations == 0)
+        TestResult::from_bool(once && answered && violations == 0)
     }
-    QuickCheck::new().tests(300).quickcheck(holds as fn(Vec<u8>, Vec<(u8, u8, bool)>) -> TestResult);
+    QuickCheck::new().tests(300).quickcheck(at_most_one_claim as fn(Vec<u8>, Vec<(u8, u8, bool)>) -> TestResult);
 }
 
 #[test]
-fn writes_grow_slower_than_claims() {
-    let writes = |a_second: u128| {
-        let mut bench = Bench::new(1, Vec::new());
+fn writes_grow_more_slowly_than_claims() {
+    let writes = |claims_per_s: u128| {
+        let mut harness = Harness::new(1, Vec::new());
         let gap = Duration::from_millis(10);
         let mut due = 0;
         for tick in 0..1_000_u128 {
-            while due * 100 < tick * a_second {
-                bench.claim(0, due, due + 1);
-                bench.settle(0, due, due + 1);
+            while due * 100 < tick * claims_per_s {
+                harness.claim(0, due, due + 1);
+                harness.settle(0, due, due + 1);
                 due += 1;
             }
-            bench.pass(gap);
+            harness.pass(gap);
         }
-        (bench.keepers[0].counts().writes, due)
+        (harness.owners[0].counts().writes, due)
     };
     let (slow, few) = writes(10);
     let (fast, many) = writes(400);
--- a/crates/stairvale-claim/tests/spec.rs
+++ b/crates/stairvale-claim/tests/spec.rs
@@ -1,7 +1,8 @@
-//! The moves of spec/claims.pml, made with the code's own keepers, in many seeded orders.
+//! Random walks, from fixed seeds, through the moves of the model spec/claims.pml, made with the code's own shard
+//! owners.
 //!
-//! The entry's part is as in `stairvale_control`: it asks once, runs only on the answer it waits for, and gives back only
-//! what it has given up.
+//! The entries behave as in `stairvale_control`: an entry requests a claim once, runs only on an answer that it still
+//! waits for, and releases a claim only after it has stopped waiting for it.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -23,205 +24,217 @@
 
 const KEY: id::Key = id::Key(5);
 const ATTEMPTS: usize = 2;
+/// Number of moves in a walk.
 const DEPTH: usize = 26;
 const WALKS: u64 = 20_000;
 
+/// An entry that makes one attempt.
 struct Entry {
-    keeper: Option<usize>,
+    owner: Option<usize>,
     inbox: VecDeque<ClaimVerdict>,
-    waits: bool,
+    waiting: bool,
     gave_up: bool,
     copies: u8,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Move {
-    Ask(usize, usize),
-    Answer(usize),
-    Lose(usize),
-    Hear(usize),
-    HearTwice(usize),
+    /// An entry requests the claim from an owner.
+    Request(usize, usize),
+    /// The store answers an owner's call.
+    Reply(usize),
+    /// The store performs an owner's call, and its answer is lost.
+    LoseReply(usize),
+    /// An entry receives an answer.
+    Receive(usize),
+    /// An answer to an entry is duplicated on the way.
+    Duplicate(usize),
+    /// An entry gives up waiting and releases the claim.
     StopWaiting(usize),
-    GiveBack,
-    Pass(u64),
+    /// An owner receives a release.
+    Release,
+    /// This many milliseconds pass.
+    PassTime(u64),
 }
 
 struct Model {
     now: Moment,
     record: Option<(String, u64)>,
-    keepers: Vec<Shard>,
+    owners: Vec<Shard>,
     calls: Vec<Option<Effect>>,
     entries: Vec<Entry>,
-    /// Give-backs on their way: the attempt and the keeper.
-    backs: VecDeque<(usize, usize)>,
+    /// Releases in transit: the number of the attempt and that of the owner.
+    releases: VecDeque<(usize, usize)>,
     runs: u32,
-    made: BTreeSet<&'static str>,
+    moves_made: BTreeSet<&'static str>,
 }
 
 impl Model {
     fn new() -> Self {
-        let entry = |_| Entry { keeper: None, inbox: VecDeque::new(), waits: false, gave_up: false, copies: 0 };
+        let entry = |_| Entry { owner: None, inbox: VecDeque::new(), waiting: false, gave_up: false, copies: 0 };
         Self {
             now: Moment::from_millis(1_000),
             record: None,
-            keepers: (0..2).map(|_| Shard::new()).collect(),
+            owners: (0..2).map(|_| Shard::new()).collect(),
             calls: vec![None, None],
             entries: (0..ATTEMPTS).map(entry).collect(),
-            backs: VecDeque::new(),
+            releases: VecDeque::new(),
             runs: 0,
-            made: BTreeSet::new(),
+            moves_made: BTreeSet::new(),
         }
     }
 
+    /// The moves that are possible in the current state.
     fn enabled(&self) -> Vec<Move> {
-        let mut moves = vec![Move::Pass(50), Move::Pass(500), Move::Pass(2_100)];
+        let mut moves = vec![Move::PassTime(50), Move::PassTime(500), Move::PassTime(2_100)];
         for (number, entry) in self.entries.iter().enumerate() {
-            if entry.keeper.is_none() {
-                moves.extend([Move::Ask(number, 0), Move::Ask(number, 1)]);
+            if entry.owner.is_none() {
+                moves.extend([Move::Request(number, 0), Move::Request(number, 1)]);
             }
-            if entry.waits {
+            if entry.waiting {
                 moves.push(Move::StopWaiting(number));
             }
             if !entry.inbox.is_empty() {
-                moves.push(Move::Hear(number));
+                moves.push(Move::Receive(number));
                 if entry.copies == 0 {
-                    moves.push(Move::HearTwice(number));
+                    moves.push(Move::Duplicate(number));
                 }
             }
         }
-        for keeper in 0..2 {
-            if self.calls[keeper].is_some() {
-                moves.extend([Move::Answer(keeper), Move::Lose(keeper)]);
+        for owner in 0..2 {
+            if self.calls[owner].is_some() {
+                moves.extend([Move::Reply(owner), Move::LoseReply(owner)]);
             }
         }
-        if !self.backs.is_empty() {
-            moves.push(Move::GiveBack);
+        if !self.releases.is_empty() {
+            moves.push(Move::Release);
         }
         moves
     }
 
     fn make(&mut self, step: Move) {
         match step {
-            Move::Ask(number, keeper) => {
+            Move::Request(number, owner) => {
                 let entry = &mut self.entries[number];
-                entry.keeper = Some(keeper);
-                entry.waits = true;
+                entry.owner = Some(owner);
+                entry.waiting = true;
                 let attempt = id::Attempt(number as u128);
                 let from = format!("r{number}").parse().unwrap();
-                let effects = self.keepers[keeper].claim(self.now, self.now.millis(), from, KEY, attempt);
-                self.effects(keeper, effects);
+                let effects = self.owners[owner].claim(self.now, self.now.millis(), from, KEY, attempt);
+                self.effects(owner, effects);
             }
-            Move::Answer(keeper) => self.reply(keeper, false),
-            Move::Lose(keeper) => self.reply(keeper, true),
-            Move::Hear(number) => {
-                self.made.insert("hear");
+            Move::Reply(owner) => self.reply(owner, false),
+            Move::LoseReply(owner) => self.reply(owner, true),
+            Move::Receive(number) => {
+                self.moves_made.insert("hear");
                 let verdict = self.entries[number].inbox.pop_front().unwrap();
-                self.hear(number, &verdict);
+                self.receive(number, &verdict);
             }
-            Move::HearTwice(number) => {
-                self.made.insert("hear-twice");
+            Move::Duplicate(number) => {
+                self.moves_made.insert("hear-twice");
                 let entry = &mut self.entries[number];
                 entry.copies += 1;
                 let copy = entry.inbox[0].clone();
                 entry.inbox.push_back(copy);
             }
             Move::StopWaiting(number) => {
-                self.made.insert("stop-waiting");
+                self.moves_made.insert("stop-waiting");
                 let entry = &mut self.entries[number];
-                entry.waits = false;
+                entry.waiting = false;
                 entry.gave_up = true;
-                self.backs.push_back((number, entry.keeper.unwrap()));
+                self.releases.push_back((number, entry.owner.unwrap()));
             }
-            Move::GiveBack => {
-                self.made.insert("give-back");
-                let (number, keeper) = self.backs.pop_front().unwrap();
+            Move::Release => {
+                self.moves_made.insert("give-back");
+                let (number, owner) = self.releases.pop_front().unwrap();
                 let from = format!("r{number}").parse().unwrap();
                 let attempt = id::Attempt(number as u128);
-                let effects = self.keepers[keeper].settle(self.now, self.now.millis(), &from, KEY, attempt, None);
-                self.effects(keeper, effects);
+                let effects = self.owners[owner].settle(self.now, self.now.millis(), &from, KEY, attempt, None);
+                self.effects(owner, effects);
             }
-            Move::Pass(millis) => {
+            Move::PassTime(millis) => {
                 self.now = self.now + Duration::from_millis(millis);
-                for keeper in 0..2 {
-                    let effects = self.keepers[keeper].tick(self.now, self.now.millis());
-                    self.effects(keeper, effects);
+                for owner in 0..2 {
+                    let effects = self.owners[owner].tick(self.now, self.now.millis());
+                    self.effects(owner, effects);
                 }
             }
         }
     }
 
-    fn hear(&mut self, number: usize, verdict: &ClaimVerdict) {
+    /// Handles an answer as the entry in `stairvale_control` does.
+    fn receive(&mut self, number: usize, verdict: &ClaimVerdict) {
         let entry = &mut self.entries[number];
         let yours = matches!(verdict, ClaimVerdict::Yours { .. });
-        if yours && entry.waits {
+        if yours && entry.waiting {
             self.runs += 1;
             assert!(self.runs <= 1, "two attempts of one key run");
         }
-        if yours && !entry.waits && entry.gave_up {
-            self.backs.push_back((number, entry.keeper.unwrap()));
+        if yours && !entry.waiting && entry.gave_up {
+            self.releases.push_back((number, entry.owner.unwrap()));
         }
-        entry.waits = false;
+        entry.waiting = false;
     }
 
-    fn reply(&mut self, keeper: usize, lost: bool) {
-        let effect = self.calls[keeper].take().unwrap();
+    fn reply(&mut self, owner: usize, lost: bool) {
+        let effect = self.calls[owner].take().unwrap();
         let reply = match &effect {
             Effect::Read => Reply::Read(self.record.clone()),
             Effect::Write { text, revision } => {
                 let found = self.record.as_ref().map_or(0, |(_, revision)| *revision);
                 if found == *revision {
                     self.record = Some((text.clone(), found + 1));
-                    self.made.insert(if lost { "answer-lost" } else { "answered" });
+                    self.moves_made.insert(if lost { "answer-lost" } else { "answered" });
                     Reply::Written(found + 1)
                 } else {
-                    self.made.insert("conflict");
+                    self.moves_made.insert("conflict");
                     Reply::Conflict
                 }
             }
-            other => panic!("{other:?} in a world of one key"),
+            other => panic!("{other:?}, though a single claim needs no segment"),
         };
         let reply = if lost { Reply::Lost } else { reply };
-        let effects = self.keepers[keeper].reply(self.now, self.now.millis(), reply);
-        self.effects(keeper, effects);
+        let effects = self.owners[owner].reply(self.now, self.now.millis(), reply);
+        self.effects(owner, effects);
     }
 
-    fn effects(&mut self, keeper: usize, effects: Vec<Effect>) {
+    fn effects(&mut self, owner: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Answer { attempt, verdict, .. } => {
                     if matches!(verdict, ClaimVerdict::Unavailable { .. }) {
-                        self.made.insert("given-up");
+                        self.moves_made.insert("given-up");
                     }
                     self.entries[usize::try_from(attempt.0).unwrap()].inbox.push_back(verdict);
                 }
                 Effect::Settled { .. } | Effect::Noted { .. } => {}
                 call => {
-                    self.made.insert(if matches!(call, Effect::Read) { "read" } else { "write" });
-                    assert!(self.calls[keeper].is_none(), "two calls at a time");
-                    self.calls[keeper] = Some(call);
+                    self.moves_made.insert(if matches!(call, Effect::Read) { "read" } else { "write" });
+                    assert!(self.calls[owner].is_none(), "two calls to the store in flight");
+                    self.calls[owner] = Some(call);
                 }
             }
         }
-        assert_eq!(self.keepers[keeper].counts().violations, 0);
+        assert_eq!(self.owners[owner].counts().violations, 0);
     }
 }
 
 #[test]
-fn in_every_order_at_most_one_attempt_runs() {
-    let mut made = BTreeSet::new();
-    let mut ran = 0;
-    for walk in 1..=WALKS {
-        let mut walk = Walk::new(walk);
+fn at_most_one_attempt_runs_in_any_order_of_moves() {
+    let mut moves_made = BTreeSet::new();
+    let mut walks_with_run = 0;
+    for seed in 1..=WALKS {
+        let mut walk = Walk::new(seed);
         let mut model = Model::new();
         for _ in 0..DEPTH {
             let moves = model.enabled();
             let pick = walk.pick(moves.len());
             model.make(moves[pick]);
         }
-        ran += u64::from(model.runs);
-        made.extend(model.made);
+        walks_with_run += u64::from(model.runs);
+        moves_made.extend(model.moves_made);
     }
-    assert!(ran > WALKS / 20, "only {ran} walks ran anything");
-    let made: BTreeSet<String> = made.into_iter().map(str::to_owned).collect();
-    assert_eq!(made, spec_moves("claims.pml"), "the code makes exactly the spec's moves");
+    assert!(walks_with_run > WALKS / 20, "an attempt ran in only {walks_with_run} walks");
+    let moves_made: BTreeSet<String> = moves_made.into_iter().map(str::to_owned).collect();
+    assert_eq!(moves_made, spec_moves("claims.pml"), "the moves of the code and of the model differ");
 }
--- a/crates/stairvale-config/src/chunk.rs
+++ b/crates/stairvale-config/src/chunk.rs
@@ -1,29 +1,29 @@
-//! A document cut into chunks that are named by their content.
+//! Content-defined chunking of a document: each chunk is named by the hash of its content.
 //!
-//! Cuts depend on the lines themselves, so that a small change to a large document changes one or two chunks,
-//! and only those travel to the routers.
+//! Chunk boundaries depend on the lines themselves, so that a small change to a large document changes one or two
+//! chunks, and only those are sent to the routers.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// A cut comes after a line whose hash has its low bits zero: one line in 64.
-const CUT_MASK: u8 = 0x3f;
-/// No chunk is larger, in bytes; the platform's values hold a megabyte.
-const MAX_CHUNK: usize = 256 << 10;
+/// A chunk ends after a line whose hash is zero in these bits, which holds for one line in 64.
+const BOUNDARY_MASK: u8 = 0x3f;
+/// The largest chunk, in bytes, unless a single line is longer. The store's values hold at most a megabyte.
+const MAX_CHUNK_BYTES: usize = 256 << 10;
 
-/// A chunk's name: the BLAKE3 hash of its bytes.
+/// The BLAKE3 hash of a chunk or a document, by which it is named.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 32]);
 
-/// The text is no digest.
+/// The text isn't a digest in hexadecimal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("a digest is 64 hexadecimal digits")]
 pub struct Error;
 
 impl Digest {
-    /// The name of these bytes.
+    /// Computes the digest of a chunk or a whole document.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
@@ -59,20 +59,20 @@
     }
 }
 
-/// Cuts a text; the chunks in order make up the text again.
+/// Splits a text into chunks, whose concatenation is the text.
 #[must_use]
 pub fn split(text: &str) -> Vec<&str> {
     let mut chunks = Vec::new();
     let mut start = 0;
     let mut end = 0;
     for line in text.split_inclusive('\n') {
-        if end - start + line.len() > MAX_CHUNK && end > start {
+        if end - start + line.len() > MAX_CHUNK_BYTES && end > start {
             chunks.push(&text[start..end]);
             start = end;
         }
         end += line.len();
         let low_byte = blake3::hash(line.as_bytes()).as_bytes()[0];
-        if low_byte & CUT_MASK == 0 {
+        if low_byte & BOUNDARY_MASK == 0 {
             chunks.push(&text[start..end]);
             start = end;
         }
--- a/crates/stairvale-config/src/document.rs
+++ b/crates/stairvale-config/src/document.rs
@@ -1,4 +1,4 @@
-//! The document that operators write.
+//! The configuration document that operators write in YAML.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 /// The largest document, in bytes.
 pub const MAX_DOCUMENT: usize = 8 << 20;
 
-/// A whole configuration.
+/// A complete configuration of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
     /// The availability zones and the region each lies in.
     pub zones: Vec<Zone>,
-    /// What callers can ask for.
+    /// The services that callers can request.
     pub services: Vec<Service>,
-    /// Who may ask.
+    /// The customers whose requests are accepted.
     pub customers: Vec<Customer>,
-    /// Who may apply configurations.
+    /// The operators that may apply configurations.
     pub operators: Vec<Operator>,
 }
 
@@ -29,29 +29,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name, as in the routers' settings.
+    /// The zone's name, as in the routers' settings.
     pub name: id::Zone,
-    /// The region it lies in.
+    /// The region that the zone lies in.
     pub region: id::Region,
 }
 
-/// What runs behind a service.
+/// The kind of upstream behind a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Engines that stream tokens and cache prefixes.
+    /// Model engines, which stream tokens and cache prompt prefixes.
     Model,
-    /// Plain HTTP back ends.
+    /// HTTP back ends of a plain service.
     Plain,
 }
 
-/// A service and how its requests are placed and limited.
+/// A service, and the rules by which its requests are placed on upstreams and limited.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The first part of the caller's path.
+    /// The service's name, which is the first segment of the path that callers request.
     pub name: id::Service,
-    /// What runs behind it.
+    /// The kind of the service's upstreams.
     pub kind: Kind,
     /// The model that engines must have loaded (`kind: model` only).
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -59,66 +59,68 @@
     /// The model's version that engines must have loaded (`kind: model` only).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
-    /// The set multiple of the mean load that an upstream may carry.
+    /// The load bound: the multiple of the service's mean load up to which an upstream accepts requests.
     #[serde(default = "default_multiple")]
     pub load_multiple: unit::Multiple,
-    /// How long a returning chat waits at the home for the engine that has its prefix.
+    /// How long a request of a returning chat may wait at the home for the engine that has its prefix.
     #[serde(default = "default_prefix_wait", with = "humantime_serde")]
     pub prefix_wait: Duration,
-    /// Requests that one upstream bears at once.
+    /// The number of requests that one upstream can serve at the same time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Requests that wait at one upstream's home.
+    /// The number of requests that may wait for one upstream at its home.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// The deadline of a request that names none.
+    /// The deadline of requests that don't specify one.
     #[serde(default = "default_deadline", with = "humantime_serde")]
     pub deadline: Duration,
-    /// What an engine spends on one token of a prompt that it has not cached, in microseconds.
+    /// The time that an engine takes to prefill one prompt token that isn't cached, in microseconds.
     #[serde(default = "default_prefill")]
     pub prefill_us_per_token: u32,
-    /// What moving one token of KV cache between engines costs, in microseconds.
+    /// The time that the transfer of one token's KV cache between engines takes, in microseconds.
     #[serde(default = "default_transfer")]
     pub transfer_us_per_token: u32,
-    /// Methods whose requests may run at most once.
+    /// HTTP methods whose requests may run at most once.
     #[serde(default)]
     pub not_repeatable: Vec<String>,
-    /// Whether the upstreams check the fencing token of an order.
+    /// Whether the upstreams check the fencing tokens of model orders.
     #[serde(default)]
     pub checks_orders: bool,
 }
 
-/// A customer and its share.
+/// A customer, with its share and its rate limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// Its name, in logs and metrics.
+    /// The customer's name in logs and metrics.
     pub name: id::Customer,
-    /// BLAKE3 of its key, in hexadecimal; the key itself is never written down.
+    /// The BLAKE3 hash of the customer's key, in hexadecimal; the key itself is never stored.
     pub key_hash: String,
-    /// Its share where customers compete; twice the weight gets twice the turns.
+    /// The customer's weight in fair sharing: of customers that compete, one with twice the weight is served twice as
+    /// often.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests a second over the whole fleet.
+    /// The rate limit in requests per second over the whole fleet; none if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<unit::Rate>,
 }
 
-/// An operator.
+/// An operator, who may apply configurations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Its name, in the audit trail.
+    /// The operator's name in the audit trail.
     pub name: id::Operator,
-    /// BLAKE3 of its key, in hexadecimal.
+    /// The BLAKE3 hash of the operator's key, in hexadecimal.
     pub key_hash: String,
 }
 
 impl Document {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
-    /// The first [`Fault`]: text that is no YAML of this shape, or values that contradict each other.
+    /// The first [`Fault`]: the text is too large, it isn't YAML of this schema, or its values are out of range or
+    /// contradict each other.
     pub fn parse(text: &str) -> Result<Self, Report<Fault>> {
         if text.len() > MAX_DOCUMENT {
             return Err(Report::new(Fault::size(text.len())));
@@ -128,19 +130,19 @@
         Ok(document)
     }
 
-    /// The service of this name.
+    /// Looks up a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name.as_str() == name)
     }
 
-    /// The customer of this name.
+    /// Looks up a customer by name.
     #[must_use]
     pub fn customer(&self, name: &id::Customer) -> Option<&Customer> {
         self.customers.iter().find(|customer| &customer.name == name)
     }
 
-    /// The region that a zone lies in.
+    /// The region that a zone lies in; `None` if the document has no such zone.
     #[must_use]
     pub fn region(&self, zone: &id::Zone) -> Option<&id::Region> {
         let zone = self.zones.iter().find(|z| &z.name == zone)?;
@@ -148,18 +150,19 @@
     }
 }
 
-/// What a key looks like in the configuration.
+/// The hash of a customer's or operator's key, as it appears in `key_hash`.
 #[must_use]
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
 // ----------------------------------------------------------------------------
-// Defaults, each with where it comes from.
+// Default values of optional fields.
 
 fn default_multiple() -> unit::Multiple {
-    // docs/MEASUREMENTS.md: the frontier's knee.
-    unit::Multiple::try_from(1.25).unwrap_or_else(|_| unreachable!("1.25 is a multiple"))
+    // The knee of the trade-off between reuse of cached prefixes and an even load: a higher multiple gains little
+    // reuse.
+    unit::Multiple::try_from(1.25).unwrap_or_else(|_| unreachable!("1.25 is a valid load multiple"))
 }
 
 fn default_prefix_wait() -> Duration {
--- a/crates/stairvale-config/src/fault.rs
+++ b/crates/stairvale-config/src/fault.rs
@@ -1,48 +1,48 @@
-//! What is wrong with a document, and where.
+//! Faults of a document, with their location.
 
 use std::fmt;
 
-/// The first thing that is wrong with a document or a settings file.
+/// The first fault found in a document or a settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The line, from 1, where it can be told.
+    /// The line of the fault, counted from 1, if it can be determined.
     pub line: Option<usize>,
-    /// The field's path, such as `services[2].slots`.
+    /// The path of the faulty field, such as `services[2].slots`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: Reason,
 }
 
-/// What is wrong.
+/// The reason why a field or a document is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// The text is no YAML, or not of the expected shape.
+    /// The text isn't YAML, or doesn't match the schema; the parser's message.
     #[error("{0}")]
     Syntax(String),
-    /// The document is larger than the limit.
-    #[error("the document has {0} bytes, which is more than is allowed")]
+    /// The document, whose size in bytes is given, exceeds [`MAX_DOCUMENT`](crate::document::MAX_DOCUMENT).
+    #[error("document of {0} bytes exceeds the limit of {limit} bytes", limit = crate::document::MAX_DOCUMENT)]
     Size(usize),
-    /// Two items have one name.
-    #[error("the name {0} stands twice")]
-    Twice(String),
-    /// A key's hash is not 64 hexadecimal digits.
-    #[error("a key hash is the 64 hexadecimal digits of a BLAKE3 hash")]
+    /// Two items of one list have this name.
+    #[error("duplicate name {0}")]
+    DuplicateName(String),
+    /// A key's hash isn't 64 lowercase hexadecimal digits.
+    #[error("a key hash must be the 64 lowercase hexadecimal digits of a BLAKE3 hash")]
     KeyHash,
-    /// Two keys are the same, so a caller could not be told from another.
-    #[error("the same key hash stands at {0}")]
+    /// Another customer or operator, at this path, has the same key, so their requests couldn't be distinguished.
+    #[error("{0} has the same key hash")]
     SharedKey(String),
-    /// A number outside its range.
+    /// The number is outside its valid range, whose inclusive bounds are given; durations are in milliseconds.
     #[error("must be from {0} to {1}")]
     Range(u64, u64),
-    /// A setting of model services on a plain one.
-    #[error("only a model service has this")]
+    /// The field is only valid for model services, but the service is a plain one.
+    #[error("only valid for model services")]
     PlainService,
-    /// A model service that names no model.
-    #[error("a model service names its model")]
-    NoModel,
-    /// No HTTP method.
-    #[error("{0} is no HTTP method")]
-    Method(String),
+    /// A model service doesn't specify its model.
+    #[error("a model service must specify its model")]
+    MissingModel,
+    /// The text isn't a supported HTTP method.
+    #[error("{0} is not a supported HTTP method")]
+    UnknownMethod(String),
 }
 
 impl Fault {
--- a/crates/stairvale-config/src/lib.rs
+++ b/crates/stairvale-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' configuration: one YAML document that is checked and applied as a whole.
+//! The operators' configuration: one YAML document that is validated and applied as a whole.
 //!
-//! [`Document::parse`] names line, field and reason of the first fault. A [`Manifest`] says which document is
-//! in force: its generation, its chunks by content hash, who applied it, and a bounded history.
+//! [`Document::parse`] reports the line, field and reason of the first fault. A [`Manifest`] identifies the document in
+//! force by its generation and the hashes of its chunks, and records who applied it and a bounded history of changes.
 //!
 //! ```
 //! let text = "zones: []\nservices: []\ncustomers: []\noperators: []\n";
--- a/crates/stairvale-config/src/manifest.rs
+++ b/crates/stairvale-config/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Which document is in force, and how it came to be.
+//! The manifest, which identifies the document in force and records the changes that led to it.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,15 +11,15 @@
 
 use crate::chunk::Digest;
 
-/// How many changes a manifest remembers; this is what survives every router.
-pub const HISTORY: usize = 64;
+/// The number of earlier changes that a manifest records. As part of the manifest, they outlive all routers.
+pub const MAX_HISTORY: usize = 64;
 
-/// The number of a configuration; each accepted one has the next. Zero is "none yet".
+/// The number of a configuration. Each accepted configuration has the next number; zero stands for no configuration.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
 impl Generation {
-    /// The one after this.
+    /// The generation that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -40,80 +40,81 @@
     }
 }
 
-/// An accepted change.
+/// A change of the configuration that was accepted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The generation that it made.
+    /// The generation that the change created.
     pub generation: Generation,
-    /// The submission's own id, by which a lost answer is settled.
+    /// The id that the operator's tool gave to the submission. It shows whether the submission was accepted if the
+    /// answer was lost.
     pub submission: String,
-    /// Who applied it.
+    /// The operator that applied the change.
     pub operator: id::Operator,
-    /// When, in milliseconds since 1970 by the accepting router's clock.
+    /// When the change was accepted, in milliseconds since the Unix epoch by the accepting router's clock.
     pub at_ms: u64,
-    /// The whole document's digest.
+    /// The digest of the complete document.
     pub document: Digest,
 }
 
-/// An availability zone to whose upstreams nothing new goes.
+/// The evacuation of an availability zone, whose upstreams receive no new requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Who asked for it.
+    /// The operator that requested the evacuation.
     pub operator: id::Operator,
-    /// When, in milliseconds since 1970 by the accepting router's clock.
+    /// When the evacuation was accepted, in milliseconds since the Unix epoch by the accepting router's clock.
     pub at_ms: u64,
 }
 
-/// The one value whose compare-and-swap accepts a configuration.
+/// The value in the store whose compare-and-swap makes a configuration accepted.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The latest change.
+    /// The most recent change.
     pub change: Change,
-    /// The document's chunks in order.
+    /// The digests of the document's chunks, in order.
     pub chunks: Vec<Digest>,
-    /// Earlier changes, the latest last, at most [`HISTORY`].
+    /// Earlier changes, the most recent last; at most [`MAX_HISTORY`].
     pub history: VecDeque<Change>,
-    /// Zones that are evacuated. A new document leaves them so.
+    /// The zones that are evacuated. They remain so when a new document is applied.
     #[serde(default)]
     pub evacuated: BTreeMap<id::Zone, Evacuation>,
 }
 
 impl Manifest {
-    /// The manifest that follows `before`.
+    /// Creates the manifest of a change to `before`, which keeps its history and its evacuated zones.
     #[must_use]
     pub fn after(before: Option<&Self>, change: Change, chunks: Vec<Digest>) -> Self {
         let mut history = before.map(|m| m.history.clone()).unwrap_or_default();
         if let Some(before) = before {
             history.push_back(before.change.clone());
         }
-        while history.len() > HISTORY {
+        while history.len() > MAX_HISTORY {
             history.pop_front();
         }
         let evacuated = before.map(|m| m.evacuated.clone()).unwrap_or_default();
         Self { change, chunks, history, evacuated }
     }
 
-    /// The same with a zone evacuated.
+    /// Returns the manifest with a zone evacuated.
     #[must_use]
     pub fn with_evacuated(mut self, zone: id::Zone, evacuation: Evacuation) -> Self {
         self.evacuated.insert(zone, evacuation);
         self
     }
 
-    /// The same with a zone taken back into use.
+    /// Returns the manifest with a zone's evacuation ended.
     #[must_use]
     pub fn with_restored(mut self, zone: &id::Zone) -> Self {
         self.evacuated.remove(zone);
         self
     }
 
-    /// The generation in force.
+    /// The generation of the configuration in force.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.change.generation
     }
 
-    /// The change that a submission made, if it is remembered.
+    /// Looks up the change that a submission made; `None` if it made none or the history no longer contains it.
     #[must_use]
     pub fn find(&self, submission: &str) -> Option<&Change> {
         if self.change.submission == submission {
--- a/crates/stairvale-config/src/verify.rs
+++ b/crates/stairvale-config/src/verify.rs
@@ -1,4 +1,4 @@
-//! What a document's fields must hold together, beyond their shapes.
+//! Validation of a document's values, beyond what its schema ensures.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,54 +9,58 @@
 const MAX_SLOTS: u64 = 100_000;
 const MAX_QUEUE: u64 = 100_000;
 const MAX_WEIGHT: u64 = 1_000_000;
-const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_PREFIX_WAIT: Duration = Duration::from_secs(60);
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 const KEY_HASH_DIGITS: usize = 64;
 const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
 
-/// Finds the line of a field inside the item that starts with `name: value`.
-struct Place<'a> {
+/// Locates the fields of one item of a list in the document's text.
+struct ItemLocator<'a> {
     text: &'a str,
+    /// The top-level key of the list.
     list: &'static str,
     index: usize,
+    /// The value of the item's `name` field, with which the item starts.
     name: &'a str,
 }
 
-impl Place<'_> {
+impl ItemLocator<'_> {
     fn fault(&self, field: &str, reason: Reason) -> Report<Fault> {
         let path = format!("{}[{}].{field}", self.list, self.index);
         Report::new(Fault { line: self.line(field), field: path, reason })
     }
 
+    /// The line of a field, counted from 1; the item's first line if the field isn't found.
     fn line(&self, field: &str) -> Option<usize> {
         let section = format!("{}:", self.list);
         let mut lines = self.text.lines().enumerate().skip_while(|(_, line)| !line.starts_with(&section));
-        let named = |line: &str| {
+        let starts_item = |line: &str| {
             let line = line.trim().trim_start_matches("- ");
             let value = line.strip_prefix("name:").map(|value| value.trim().trim_matches('"'));
             value == Some(self.name)
         };
-        let start = lines.find(|(_, line)| named(line))?.0;
+        let start = lines.find(|(_, line)| starts_item(line))?.0;
         if field == "name" {
             return Some(start + 1);
         }
-        let wanted = format!("{field}:");
+        let key = format!("{field}:");
         let inside = lines.take_while(|(_, line)| !line.trim_start().starts_with("- name:"));
-        let found = inside.into_iter().find(|(_, line)| line.trim().trim_start_matches("- ").starts_with(&wanted));
+        let found = inside.into_iter().find(|(_, line)| line.trim().trim_start_matches("- ").starts_with(&key));
         Some(found.map_or(start, |(at, _)| at) + 1)
     }
 }
 
+/// Validates a document; `text` serves to locate the first fault.
 pub(crate) fn verify(document: &Document, text: &str) -> Result<(), Report<Fault>> {
     verify_names(document, text)?;
     verify_keys(document, text)?;
     for (index, service) in document.services.iter().enumerate() {
-        let place = Place { text, list: "services", index, name: service.name.as_str() };
-        verify_service(service, &place)?;
+        let locator = ItemLocator { text, list: "services", index, name: service.name.as_str() };
+        verify_service(service, &locator)?;
     }
     for (index, customer) in document.customers.iter().enumerate() {
-        let place = Place { text, list: "customers", index, name: customer.name.as_str() };
-        verify_range(&place, "weight", u64::from(customer.weight), 1, MAX_WEIGHT)?;
+        let locator = ItemLocator { text, list: "customers", index, name: customer.name.as_str() };
+        verify_range(&locator, "weight", u64::from(customer.weight), 1, MAX_WEIGHT)?;
     }
     Ok(())
 }
@@ -76,8 +80,8 @@
     let mut seen = HashMap::new();
     for (index, name) in names.enumerate() {
         if seen.insert(name, index).is_some() {
-            let place = Place { text, list, index, name };
-            return Err(place.fault("name", Reason::Twice(name.to_owned())));
+            let locator = ItemLocator { text, list, index, name };
+            return Err(locator.fault("name", Reason::DuplicateName(name.to_owned())));
         }
     }
     Ok(())
@@ -90,45 +94,45 @@
     let operators = operators.map(|(index, o)| ("operators", index, o.name.as_str(), &o.key_hash));
     let mut seen: HashMap<&str, String> = HashMap::new();
     for (list, index, name, hash) in customers.chain(operators) {
-        let place = Place { text, list, index, name };
-        let digits = hash.len() == KEY_HASH_DIGITS && hash.bytes().all(|b| b.is_ascii_hexdigit());
-        if !digits || hash.bytes().any(|b| b.is_ascii_uppercase()) {
-            return Err(place.fault("key_hash", Reason::KeyHash));
+        let locator = ItemLocator { text, list, index, name };
+        let is_hash = hash.len() == KEY_HASH_DIGITS && hash.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_hash || hash.bytes().any(|b| b.is_ascii_uppercase()) {
+            return Err(locator.fault("key_hash", Reason::KeyHash));
         }
         if let Some(other) = seen.insert(hash, format!("{list}[{index}]")) {
-            return Err(place.fault("key_hash", Reason::SharedKey(other)));
+            return Err(locator.fault("key_hash", Reason::SharedKey(other)));
         }
     }
     Ok(())
 }
 
-fn verify_service(service: &Service, place: &Place<'_>) -> Result<(), Report<Fault>> {
-    verify_range(place, "slots", u64::from(service.slots), 1, MAX_SLOTS)?;
-    verify_range(place, "queue", u64::from(service.queue), 0, MAX_QUEUE)?;
-    verify_span(place, "prefix_wait", service.prefix_wait, Duration::ZERO, MAX_WAIT)?;
-    verify_span(place, "deadline", service.deadline, Duration::from_millis(1), MAX_DEADLINE)?;
+fn verify_service(service: &Service, locator: &ItemLocator<'_>) -> Result<(), Report<Fault>> {
+    verify_range(locator, "slots", u64::from(service.slots), 1, MAX_SLOTS)?;
+    verify_range(locator, "queue", u64::from(service.queue), 0, MAX_QUEUE)?;
+    verify_duration(locator, "prefix_wait", service.prefix_wait, Duration::ZERO, MAX_PREFIX_WAIT)?;
+    verify_duration(locator, "deadline", service.deadline, Duration::from_millis(1), MAX_DEADLINE)?;
     for method in &service.not_repeatable {
         if !METHODS.contains(&method.as_str()) {
-            return Err(place.fault("not_repeatable", Reason::Method(method.clone())));
+            return Err(locator.fault("not_repeatable", Reason::UnknownMethod(method.clone())));
         }
     }
     match service.kind {
-        Kind::Model if service.model.is_none() => Err(place.fault("model", Reason::NoModel)),
-        Kind::Plain if service.model.is_some() => Err(place.fault("model", Reason::PlainService)),
-        Kind::Plain if service.version.is_some() => Err(place.fault("version", Reason::PlainService)),
+        Kind::Model if service.model.is_none() => Err(locator.fault("model", Reason::MissingModel)),
+        Kind::Plain if service.model.is_some() => Err(locator.fault("model", Reason::PlainService)),
+        Kind::Plain if service.version.is_some() => Err(locator.fault("version", Reason::PlainService)),
         Kind::Model | Kind::Plain => Ok(()),
     }
 }
 
-fn verify_range(place: &Place<'_>, field: &str, value: u64, low: u64, high: u64) -> Result<(), Report<Fault>> {
+fn verify_range(locator: &ItemLocator<'_>, field: &str, value: u64, low: u64, high: u64) -> Result<(), Report<Fault>> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
-    Err(place.fault(field, Reason::Range(low, high)))
+    Err(locator.fault(field, Reason::Range(low, high)))
 }
 
-fn verify_span(
-    place: &Place<'_>,
+fn verify_duration(
+    locator: &ItemLocator<'_>,
     field: &str,
     value: Duration,
     low: Duration,
@@ -137,6 +141,6 @@
     if (low..=high).contains(&value) {
         return Ok(());
     }
-    let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
-    Err(place.fault(field, Reason::Range(millis(low), millis(high))))
+    let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
+    Err(locator.fault(field, Reason::Range(millis(low), millis(high))))
 }
--- a/crates/stairvale-config/tests/document.rs
+++ b/crates/stairvale-config/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents are checked as a whole; faults name line, field and reason. Chunks put the text together again.
+//! Validation of documents, whose faults give line, field and reason; splitting into chunks; the manifest's history.
 
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
@@ -8,10 +8,10 @@
     chunk::{self, Digest},
     document::key_hash,
     fault::Reason,
-    manifest::HISTORY,
+    manifest::MAX_HISTORY,
 };
 
-const GOOD: &str = "\
+const VALID: &str = "\
 zones:
   - name: a
     region: r
@@ -29,12 +29,12 @@
 ";
 
 fn fault(text: &str) -> stairvale_config::Fault {
-    Document::parse(text).expect_err("the document is wrong").current_context().clone()
+    Document::parse(text).expect_err("the document is invalid").current_context().clone()
 }
 
 #[test]
-fn a_good_document_has_its_defaults() {
-    let document = Document::parse(GOOD).unwrap();
+fn omitted_fields_have_defaults() {
+    let document = Document::parse(VALID).unwrap();
     assert_eq!(document.service("chat").unwrap().slots, 8);
     assert!((document.service("points").unwrap().load_multiple.get() - 1.25).abs() < 1e-9);
     assert_eq!(document.region(&"a".parse().unwrap()).unwrap().as_str(), "r");
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_number_out_of_range_is_found_with_its_line() {
-    let fault = fault(&GOOD.replace("slots: 8", "slots: 0"));
+fn a_number_out_of_range_is_reported_with_its_line() {
+    let fault = fault(&VALID.replace("slots: 8", "slots: 0"));
     assert_eq!(fault.line, Some(8));
     assert_eq!(fault.field, "services[0].slots");
     assert_eq!(fault.reason, Reason::Range(1, 100_000));
@@ -61,38 +61,38 @@
 
 #[test]
 fn an_unknown_field_is_a_fault() {
-    let fault = fault(&GOOD.replace("slots: 8", "slotz: 8"));
+    let fault = fault(&VALID.replace("slots: 8", "slotz: 8"));
     assert!(fault.to_string().contains("slotz"), "{fault}");
     assert!(fault.line.is_some());
 }
 
 #[test]
-fn a_name_that_stands_twice_is_a_fault() {
-    let fault = fault(&GOOD.replace("name: points", "name: chat"));
-    assert_eq!(fault.reason, Reason::Twice("chat".into()));
+fn a_duplicate_name_is_a_fault() {
+    let fault = fault(&VALID.replace("name: points", "name: chat"));
+    assert_eq!(fault.reason, Reason::DuplicateName("chat".into()));
 }
 
 #[test]
-fn a_key_must_be_a_hash_and_belong_to_one() {
-    let bad = GOOD.replace("e48d73857", "E48d73857");
-    assert_eq!(fault(&bad).reason, Reason::KeyHash);
+fn a_key_hash_must_be_valid_and_unique() {
+    let invalid = VALID.replace("e48d73857", "E48d73857");
+    assert_eq!(fault(&invalid).reason, Reason::KeyHash);
     let hash = "e48d73857dd8cca1c1e1dabdd93525cb9a44f99a87bd89e0aed84d5a38252fe7";
-    let shared = GOOD.replace("operators: []", &format!("operators:\n  - name: o\n    key_hash: {hash}"));
+    let shared = VALID.replace("operators: []", &format!("operators:\n  - name: o\n    key_hash: {hash}"));
     assert_eq!(fault(&shared).reason, Reason::SharedKey("customers[0]".into()));
 }
 
 #[test]
-fn a_model_service_names_its_model_and_a_plain_one_has_none() {
-    assert_eq!(fault(&GOOD.replace("    model: m\n", "")).reason, Reason::NoModel);
-    assert_eq!(fault(&GOOD.replace("kind: plain", "kind: plain\n    model: m")).reason, Reason::PlainService);
+fn a_model_service_must_specify_a_model_and_a_plain_one_must_not() {
+    assert_eq!(fault(&VALID.replace("    model: m\n", "")).reason, Reason::MissingModel);
+    assert_eq!(fault(&VALID.replace("kind: plain", "kind: plain\n    model: m")).reason, Reason::PlainService);
     assert_eq!(
-        fault(&GOOD.replace("kind: plain", "kind: plain\n    not_repeatable: [SEND]")).reason,
-        Reason::Method("SEND".into())
+        fault(&VALID.replace("kind: plain", "kind: plain\n    not_repeatable: [SEND]")).reason,
+        Reason::UnknownMethod("SEND".into())
     );
 }
 
 #[test]
-fn keys_are_only_written_as_hashes() {
+fn a_key_hash_has_64_digits() {
     assert_eq!(key_hash("member-assistant-key").len(), 64);
 }
 
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_history_is_bounded_and_finds_submissions() {
+fn the_history_is_bounded_and_finds_recent_submissions() {
     let change = |generation| Change {
         generation: Generation(generation),
         submission: format!("s{generation}"),
@@ -121,7 +121,7 @@
     for generation in 2..200 {
         manifest = Manifest::after(Some(&manifest), change(generation), Vec::new());
     }
-    assert_eq!(manifest.history.len(), HISTORY);
+    assert_eq!(manifest.history.len(), MAX_HISTORY);
     assert!(manifest.find("s198").is_some() && manifest.find("s199").is_some());
     assert!(manifest.find("s1").is_none());
 }
@@ -132,8 +132,8 @@
         true
     }
 
-    fn any_damage_gives_a_document_or_a_fault(at: usize, byte: u8) -> bool {
-        let mut bytes = GOOD.as_bytes().to_vec();
+    fn a_damaged_document_gives_a_document_or_a_fault(at: usize, byte: u8) -> bool {
+        let mut bytes = VALID.as_bytes().to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
         if let Ok(text) = String::from_utf8(bytes) {
@@ -142,7 +142,7 @@
         true
     }
 
-    fn chunks_make_up_the_text(text: String) -> bool {
+    fn chunks_concatenate_to_the_text(text: String) -> bool {
         chunk::split(&text).concat() == text
     }
 }
