--- a/crates/stairvale-wire/src/codec.rs
+++ b/crates/stairvale-wire/src/codec.rs
@@ -5,7 +5,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 /// The largest frame, in bytes. A manifest of the largest document fits, while a hostile length prefix can't make the
-/// receiver reserve more memory than this.
+/// receiver buffer more than this.
 pub const MAX_FRAME: usize = 4 << 20;
 /// The largest datagram that is sent, in bytes. It fits one Ethernet frame, so it isn't fragmented.
 pub const MAX_PACKET: usize = 1_400;
