--- a/crates/stairvale-clock/src/clock.rs
+++ b/crates/stairvale-clock/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock itself.
+//! A clock that includes suspensions of the VM, and waits that respect it.
 
 use std::{
     pin::pin,
@@ -12,87 +12,96 @@
 use stairvale_types::Moment;
 use tokio::sync::watch;
 
-/// The moment came before what was waited for.
+/// The deadline passed before the work was done.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the time was over")]
+#[error("the deadline passed")]
 pub struct Late;
 
-/// The clocks differ by less than this without any suspension: two readings one after the other, with a pause of the process
-/// between them.
-const SLIP: Duration = Duration::from_millis(100);
-/// What came while the VM was suspended is read before its time counts as over.
-const CATCH_UP: Duration = Duration::from_millis(5);
+/// The shortest difference between the clocks that counts as a suspension. The clocks are read one after the other, so
+/// a pause of the process between the two readings makes them differ by less than this without any suspension.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
+/// Extra time for work whose deadline passed during a suspension: data that arrived while the VM was suspended is still
+/// read.
+const RESUME_GRACE: Duration = Duration::from_millis(5);
 
-/// Time since the start of a process. Clones tell the same time.
+/// Measures the time since the start of a process, suspensions included. Clones share their state and give the same
+/// time.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// The reading of `CLOCK_BOOTTIME` at the start.
-    booted: Duration,
-    steady: Instant,
-    /// For how long the VM was made to look suspended, in microseconds.
-    pretended: Arc<AtomicU64>,
-    /// How long the VM was suspended in all, as far as that was noticed.
-    noticed: Arc<watch::Sender<Duration>>,
+    /// `CLOCK_BOOTTIME` when this clock started.
+    started_boottime: Duration,
+    /// `CLOCK_MONOTONIC` when this clock started; it excludes suspensions.
+    started_monotonic: Instant,
+    /// The total time of simulated suspensions, in microseconds.
+    simulated_suspension_us: Arc<AtomicU64>,
+    /// The total time of the suspensions detected so far.
+    detected_suspension: Arc<watch::Sender<Duration>>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at [`Moment::ZERO`].
     #[must_use]
     pub fn start() -> Self {
-        Self { booted: boottime(), steady: Instant::now(), pretended: Arc::default(), noticed: Arc::default() }
+        Self {
+            started_boottime: boottime(),
+            started_monotonic: Instant::now(),
+            simulated_suspension_us: Arc::default(),
+            detected_suspension: Arc::default(),
+        }
     }
 
-    /// Now.
+    /// The time elapsed since the start, including suspensions.
     #[must_use]
     pub fn now(&self) -> Moment {
-        Moment::ZERO + boottime().saturating_sub(self.booted) + self.pretended()
+        Moment::ZERO + boottime().saturating_sub(self.started_boottime) + self.simulated_suspension()
     }
 
-    /// Makes the VM look as if it had been suspended for a while, for tests.
+    /// Simulates a suspension of the VM for `span`, for tests.
     pub fn suspend(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        self.pretended.fetch_add(micros, Ordering::Relaxed);
+        self.simulated_suspension_us.fetch_add(micros, Ordering::Relaxed);
     }
 
-    fn pretended(&self) -> Duration {
-        Duration::from_micros(self.pretended.load(Ordering::Relaxed))
+    fn simulated_suspension(&self) -> Duration {
+        Duration::from_micros(self.simulated_suspension_us.load(Ordering::Relaxed))
     }
 
-    /// Waits for something until a moment.
+    /// Waits for `work` until `until`; time during which the VM is suspended counts.
     ///
     /// # Errors
-    /// [`Late`] if the moment came first.
+    /// Returns an error if `until` passes before `work` is done.
     pub async fn before<T>(&self, until: Moment, work: impl Future<Output = T>) -> Result<T, Late> {
         let mut work = pin!(work);
-        let mut noticed = self.noticed.subscribe();
+        let mut suspensions = self.detected_suspension.subscribe();
         loop {
-            let left = until.since(self.now());
-            // The sender lives as long as this clock, so only a suspension ends that wait.
+            let remaining = until.since(self.now());
+            // This clock holds the sender, so `changed` returns only after a detected suspension.
             tokio::select! {
                 biased;
                 done = &mut work => return Ok(done),
-                _ = noticed.changed() => {}
-                () = tokio::time::sleep(left) => return Err(Late),
+                _ = suspensions.changed() => {}
+                () = tokio::time::sleep(remaining) => return Err(Late),
             }
             if self.now() >= until {
-                return tokio::time::timeout(CATCH_UP, work).await.map_err(|_| Late);
+                return tokio::time::timeout(RESUME_GRACE, work).await.map_err(|_| Late);
             }
         }
     }
 
-    /// Looks whether the VM was suspended since this was asked last, and for how long; all that wait look at their time again.
+    /// Returns for how long the VM was suspended since the last call, if it was; all waits then check their deadlines
+    /// again.
     pub fn notice(&self) -> Option<Duration> {
-        let slept = self.now().since(Moment::ZERO).saturating_sub(self.steady.elapsed());
-        let before = *self.noticed.borrow();
-        let span = slept.checked_sub(before).filter(|span| *span > SLIP)?;
-        self.noticed.send_replace(slept);
+        let suspended = self.now().since(Moment::ZERO).saturating_sub(self.started_monotonic.elapsed());
+        let before = *self.detected_suspension.borrow();
+        let span = suspended.checked_sub(before).filter(|span| *span > MIN_SUSPENSION)?;
+        self.detected_suspension.send_replace(suspended);
         Some(span)
     }
 }
 
-/// The time since the system started, suspensions included.
+/// The time since the system booted, suspensions included.
 fn boottime() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    // It is never negative.
+    // `CLOCK_BOOTTIME` is never negative.
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
--- a/crates/stairvale-clock/src/lib.rs
+++ b/crates/stairvale-clock/src/lib.rs
@@ -1,8 +1,9 @@
-//! The clock of a router's process, which goes on while its VM is suspended.
+//! The clock of a router process, which includes the time that its VM is suspended.
 //!
-//! A VM may be suspended for seconds. The steady clock of the system (`CLOCK_MONOTONIC`, Rust's `Instant`) stands still meanwhile,
-//! and so do the runtime's timers: a copy of the configuration would look as fresh afterwards as before, and a request would be
-//! waited for beyond its deadline. [`Clock`] counts that time, and [`Clock::before`] ends a wait by it.
+//! A VM may be suspended for seconds. The monotonic clock of the system (`CLOCK_MONOTONIC`, Rust's `Instant`) stops
+//! meanwhile, and so do the runtime's timers: after a suspension a copy of the configuration would look as fresh as
+//! before, and the router would wait for an answer beyond the request's deadline. [`Clock`] includes the time of
+//! suspensions, and its waits with a deadline respect it.
 //!
 //! ```
 //! let clock = stairvale_clock::Clock::start();
