--- a/crates/stairvale-control/src/fleet.rs
+++ b/crates/stairvale-control/src/fleet.rs
@@ -82,7 +82,7 @@
     /// The router to which a per-zone job is assigned in an availability zone, by rendezvous hashing over its live
     /// routers.
     #[must_use]
-    pub fn holder(&self, job: &str, zone: &id::Zone) -> Option<id::Router> {
+    pub fn zone_owner(&self, job: &str, zone: &id::Zone) -> Option<id::Router> {
         let job = rapidhash::v3::rapidhash_v3(job.as_bytes());
         let routers = self.routers(zone).map(|member| (member.router.hash64(), &member.router));
         pick(job, routers).cloned()
@@ -90,7 +90,7 @@
 
     /// The router to which a fleet-wide job is assigned, by rendezvous hashing over all live routers.
     #[must_use]
-    pub fn keeper(&self, job: &str) -> Option<id::Router> {
+    pub fn owner(&self, job: &str) -> Option<id::Router> {
         let job = rapidhash::v3::rapidhash_v3(job.as_bytes());
         let routers = self.swim.live().map(|member| (member.router.hash64(), &member.router));
         pick(job, routers).cloned()
--- a/crates/stairvale-control/src/generation.rs
+++ b/crates/stairvale-control/src/generation.rs
@@ -82,7 +82,7 @@
     // Changes.
 
     /// Handles a peer's announcement of its generation: the manifest is fetched from the peer if it is newer.
-    pub fn hear(&mut self, now: Moment, from: &id::Router, generation: Generation) -> Vec<Effect> {
+    pub fn observe_generation(&mut self, now: Moment, from: &id::Router, generation: Generation) -> Vec<Effect> {
         let known = self.pending.as_ref().map_or(self.generation(), |pending| pending.manifest.generation());
         if generation <= known {
             return Vec::new();
@@ -115,7 +115,7 @@
     }
 
     /// Handles received chunks. A chunk is identified by the digest of its content, so its source doesn't matter.
-    pub fn take(&mut self, chunks: Vec<String>) -> Vec<Effect> {
+    pub fn add_chunks(&mut self, chunks: Vec<String>) -> Vec<Effect> {
         let Some(pending) = &self.pending else {
             return Vec::new();
         };
--- a/crates/stairvale-control/src/handlers/claims.rs
+++ b/crates/stairvale-control/src/handlers/claims.rs
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn claim_owner(&self, key: id::Key) -> Option<id::Router> {
-        self.fleet.keeper(&format!("claims/{}", shard_of(key)))
+        self.fleet.owner(&format!("claims/{}", shard_of(key)))
     }
 
     pub(crate) fn record_claim(&mut self, from: &id::Router, key: id::Key, attempt: id::Attempt) {
--- a/crates/stairvale-control/src/handlers/configuration.rs
+++ b/crates/stairvale-control/src/handlers/configuration.rs
@@ -34,32 +34,32 @@
             }
         }
         let zone = self.fleet.zone().clone();
-        let watches = unconfigured || self.fleet.holder("config", &zone).as_ref() == Some(&self.me);
+        let watches = unconfigured || self.fleet.zone_owner("config", &zone).as_ref() == Some(&self.me);
         if watches && !self.schedule.watching && self.now >= self.schedule.watch_after {
             self.schedule.watching = true;
             let action = Action::Watch { revision: self.schedule.manifest_revision };
             self.call(Purpose::Manifest, apply::MANIFEST_KEY.to_owned(), action);
         }
         self.tick_vms(&zone);
-        let sweeps = self.fleet.keeper("sweep").as_ref() == Some(&self.me);
+        let sweeps = self.fleet.owner("sweep").as_ref() == Some(&self.me);
         let call = self.sweep.tick(self.now, sweeps);
         self.call_sweep(call);
     }
 
     /// Makes a store call of the sweep that deletes unused chunks.
-    fn call_sweep(&mut self, call: Option<sweep::Wish>) {
+    fn call_sweep(&mut self, call: Option<sweep::StoreCall>) {
         let (key, action) = match call {
             None => return,
-            Some(sweep::Wish::ReadChunk(chunk)) => (apply::chunk_key(chunk), Action::Read),
-            Some(sweep::Wish::ReadManifest) => (apply::MANIFEST_KEY.to_owned(), Action::Read),
-            Some(sweep::Wish::Delete(chunk, revision)) => (apply::chunk_key(chunk), Action::Delete { revision }),
+            Some(sweep::StoreCall::ReadChunk(chunk)) => (apply::chunk_key(chunk), Action::Read),
+            Some(sweep::StoreCall::ReadManifest) => (apply::MANIFEST_KEY.to_owned(), Action::Read),
+            Some(sweep::StoreCall::Delete(chunk, revision)) => (apply::chunk_key(chunk), Action::Delete { revision }),
         };
         self.call(Purpose::Sweep, key, action);
     }
 
     pub(crate) fn tick_vms(&mut self, zone: &id::Zone) {
         let due = self.schedule.vms_fetched.is_none_or(|at| self.now.since(at) >= VMS_INTERVAL);
-        let fetches = self.fleet.upstreams.revision() == 0 || self.fleet.holder("vms", zone).as_ref() == Some(&self.me);
+        let fetches = self.fleet.upstreams.revision() == 0 || self.fleet.zone_owner("vms", zone).as_ref() == Some(&self.me);
         if due && fetches {
             self.schedule.vms_fetched = Some(self.now);
             self.outputs.push(Output::FetchVms);
@@ -70,7 +70,7 @@
         let effects = self.config.offer(self.now, None, manifest);
         let without_reads = effects.into_iter().filter(|effect| !matches!(effect, generation::Effect::ReadChunk(_)));
         self.config_effects(without_reads.collect());
-        let effects = self.config.take(chunks);
+        let effects = self.config.add_chunks(chunks);
         self.config_effects(effects);
     }
 
@@ -123,7 +123,7 @@
             }
             Purpose::Chunk(_) => {
                 if let Answer::Value(Some((text, _))) = answer {
-                    let effects = self.config.take(vec![text]);
+                    let effects = self.config.add_chunks(vec![text]);
                     self.config_effects(effects);
                 }
             }
@@ -136,7 +136,7 @@
             Purpose::Orders => {
                 let holds = self.orders.answer(self.now, &answer);
                 if let Some(holds) = holds {
-                    let token = self.orders.holds(self.now).unwrap_or(0);
+                    let token = self.orders.fencing_token(self.now).unwrap_or(0);
                     self.audit(Event::OrderHolder { holds, token });
                 }
             }
--- a/crates/stairvale-control/src/handlers/engine_orders.rs
+++ b/crates/stairvale-control/src/handlers/engine_orders.rs
@@ -22,16 +22,16 @@
     pub(crate) fn tick_orders(&mut self) {
         self.report_mismatches();
         let zone = self.fleet.zone().clone();
-        let chosen = !self.leaving && self.fleet.holder("orders", &zone).as_ref() == Some(&self.me);
+        let chosen = !self.leaving && self.fleet.zone_owner("orders", &zone).as_ref() == Some(&self.me);
         if let Some(call) = self.orders.tick(self.now, chosen) {
             let revision = match call {
-                orders::Wish::Acquire => 0,
-                orders::Wish::Renew => 1,
+                orders::StoreCall::Acquire => 0,
+                orders::StoreCall::Renew => 1,
             };
             let action = Action::Write { value: self.me.to_string(), revision };
             self.call(Purpose::Orders, format!("orders/{zone}"), action);
         }
-        if self.orders.holds(self.now).is_none() {
+        if self.orders.fencing_token(self.now).is_none() {
             return;
         }
         let needs = self.order_needs(&zone);
@@ -54,7 +54,7 @@
         });
         for (upstream, Loaded { model, version }) in mismatches.collect::<Vec<_>>() {
             let zone = self.fleet.upstream(&upstream).map(|upstream| upstream.zone.clone());
-            let holder = zone.and_then(|zone| self.fleet.holder("orders", &zone));
+            let holder = zone.and_then(|zone| self.fleet.zone_owner("orders", &zone));
             if let Some(holder) = holder {
                 self.send(&holder, Frame::Loaded { upstream, model, version });
             }
@@ -81,7 +81,7 @@
             let known = self.fleet.upstream(upstream).filter(|known| &known.zone == zone)?;
             let load = self.configured_model(upstream).filter(|load| load != loaded)?;
             let checks = self.fleet.service(&known.service)?.checks_orders;
-            Some(Need { upstream: upstream.clone(), address: known.address, load, checks })
+            Some(Need { upstream: upstream.clone(), address: known.address, load, checks_tokens: checks })
         };
         self.mismatched.iter().filter_map(|(upstream, (loaded, _))| need(upstream, loaded)).collect()
     }
--- a/crates/stairvale-control/src/handlers/frames.rs
+++ b/crates/stairvale-control/src/handlers/frames.rs
@@ -57,7 +57,7 @@
                 self.send(from, Frame::Chunks(chunks));
             }
             Frame::Chunks(chunks) => {
-                let effects = self.config.take(chunks);
+                let effects = self.config.add_chunks(chunks);
                 self.config_effects(effects);
             }
             Frame::FetchVms => self.send_vms(from),
@@ -76,7 +76,7 @@
             Frame::Loaded { upstream, model, version } => self.record_mismatch(upstream, Loaded { model, version }),
             Frame::Usage(usages) => self.add_usage(from, usages),
             Frame::Share { customer, millionths } => self.set_share(customer, millionths),
-            Frame::Noted { attempt } => self.outputs.push(Output::Noted { attempt }),
+            Frame::Noted { attempt } => self.outputs.push(Output::OutcomeRecorded { attempt }),
             Frame::Settle { key, attempt, stored } => self.record_settlement(from, key, attempt, stored),
         }
     }
--- a/crates/stairvale-control/src/handlers/limits.rs
+++ b/crates/stairvale-control/src/handlers/limits.rs
@@ -21,7 +21,7 @@
     pub(crate) fn tick_limits(&mut self) {
         let mut frames: BTreeMap<id::Router, Vec<Usage>> = BTreeMap::new();
         for (customer, counted) in self.meter.due(self.now) {
-            let Some(owner) = self.fleet.keeper(&format!("limits/{customer}")) else {
+            let Some(owner) = self.fleet.owner(&format!("limits/{customer}")) else {
                 continue;
             };
             let Counted { asked, passed, fraction } = counted;
--- a/crates/stairvale-control/src/handlers/mean_sums.rs
+++ b/crates/stairvale-control/src/handlers/mean_sums.rs
@@ -19,13 +19,13 @@
     pub(crate) fn sum_effect(&mut self, zone: &id::Zone, effect: sums::Effect) {
         match effect {
             sums::Effect::Report(load) => {
-                if let Some(to) = self.fleet.holder(load.service.as_str(), zone) {
+                if let Some(to) = self.fleet.zone_owner(load.service.as_str(), zone) {
                     self.send(&to, Frame::Load(load));
                 }
             }
             sums::Effect::ZoneSum(load) => {
                 let others = self.fleet.near_zones().into_iter().filter(|other| other != zone);
-                let holders = others.filter_map(|other| self.fleet.holder(load.service.as_str(), &other));
+                let holders = others.filter_map(|other| self.fleet.zone_owner(load.service.as_str(), &other));
                 for to in holders.collect::<Vec<_>>() {
                     self.send(&to, Frame::Load(load.clone()));
                 }
--- a/crates/stairvale-control/src/handlers/members.rs
+++ b/crates/stairvale-control/src/handlers/members.rs
@@ -62,8 +62,8 @@
         let Some(there) = there else {
             return;
         };
-        let sends = self.fleet.holder(STATUS_SYNC_JOB, &here).as_ref() == Some(&self.me);
-        let receives = here == there || self.fleet.holder(STATUS_SYNC_JOB, &there).as_ref() == Some(joined);
+        let sends = self.fleet.zone_owner(STATUS_SYNC_JOB, &here).as_ref() == Some(&self.me);
+        let receives = here == there || self.fleet.zone_owner(STATUS_SYNC_JOB, &there).as_ref() == Some(joined);
         if !sends || !receives {
             return;
         }
@@ -96,7 +96,7 @@
 
     pub(crate) fn observe_versions(&mut self, from: &id::Router, generation: u64, vms: u64) {
         self.peer_generations.insert(from.clone(), generation);
-        let effects = self.config.hear(self.now, from, Generation(generation));
+        let effects = self.config.observe_generation(self.now, from, Generation(generation));
         self.config_effects(effects);
         let newer = vms > self.fleet.upstreams.revision();
         if newer && self.now.since(self.schedule.vms_hint_followed) >= HINT_INTERVAL {
--- a/crates/stairvale-control/src/handlers/mod.rs
+++ b/crates/stairvale-control/src/handlers/mod.rs
@@ -24,17 +24,17 @@
             }
             Input::PeerUnreachable(router) => self.peer_unreachable(&router),
             Input::Request(request) => self.request(request),
-            Input::Rests { upstream, length } => self.fleet.upstreams.set_backoff(self.now, &upstream, length),
-            Input::End { attempt, success, unreachable } => self.end(attempt, success, unreachable),
+            Input::BackOffRequested { upstream, length } => self.fleet.upstreams.set_backoff(self.now, &upstream, length),
+            Input::AttemptEnded { attempt, success, unreachable } => self.end(attempt, success, unreachable),
             Input::Claim { key, attempt } => self.claim(key, attempt),
-            Input::Asked { customer, passed } => self.count_request(&customer, passed),
+            Input::RateLimitChecked { customer, passed } => self.count_request(&customer, passed),
             Input::Settle { key, attempt, stored } => self.settle(key, attempt, stored),
             Input::Probed { upstream, report } => self.probed(&upstream, report),
             Input::Store { purpose, answer } => self.store_answered(&purpose, answer),
             Input::Vms(Some((revision, vms))) => self.update_vms(revision, &vms),
             Input::Vms(None) => {}
             Input::Accepted { manifest, chunks } => self.accepted(*manifest, chunks),
-            Input::Ordered { upstream, taken } => self.order_answered(&upstream, taken),
+            Input::OrderAnswered { upstream, taken } => self.order_answered(&upstream, taken),
             Input::Leave => self.leave(),
         }
     }
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -6,7 +6,7 @@
 use stairvale_types::id;
 use stairvale_wire::{Frame, Word, packet::State};
 
-use crate::{Event, Node, Output, io::Report, node::Policy};
+use crate::{Event, Node, Output, io::ProbeAnswer, node::Policy};
 
 /// Interval at which a home probes each of its upstreams.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
@@ -65,7 +65,7 @@
         self.fleet.swim.set_upstream_digest(self.status_digest);
     }
 
-    pub(crate) fn probed(&mut self, upstream: &id::Upstream, report: Option<Report>) {
+    pub(crate) fn probed(&mut self, upstream: &id::Upstream, report: Option<ProbeAnswer>) {
         let Some(probe) = self.probes.get_mut(upstream) else {
             return;
         };
--- a/crates/stairvale-control/src/io.rs
+++ b/crates/stairvale-control/src/io.rs
@@ -29,7 +29,7 @@
 
 /// An upstream's answer to a probe.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct ProbeAnswer {
     /// The upstream's incarnation, by its own count.
     pub boot: u64,
     /// The upstream's own count of state changes in this incarnation.
@@ -138,14 +138,14 @@
     /// A caller's request needs an upstream.
     Request(Request),
     /// An upstream refused a request of this router and requested that this router back off.
-    Rests {
+    BackOffRequested {
         /// The upstream that refused the request.
         upstream: id::Upstream,
         /// Requested back-off time.
         length: Duration,
     },
     /// An attempt ended or was abandoned.
-    End {
+    AttemptEnded {
         /// The attempt that ended.
         attempt: id::Attempt,
         /// Whether the upstream answered properly; `None` if no request was sent to it.
@@ -161,7 +161,7 @@
         attempt: id::Attempt,
     },
     /// This router received a request of a customer that has a rate limit.
-    Asked {
+    RateLimitChecked {
         /// The customer that sent the request.
         customer: id::Customer,
         /// Whether the request passed the rate limit.
@@ -181,7 +181,7 @@
         /// The probed upstream.
         upstream: id::Upstream,
         /// The upstream's answer; `None` if it didn't answer.
-        report: Option<Report>,
+        report: Option<ProbeAnswer>,
     },
     /// The store answered a call.
     Store {
@@ -200,7 +200,7 @@
         chunks: Vec<String>,
     },
     /// An engine answered an order to load a model.
-    Ordered {
+    OrderAnswered {
         /// The engine that answered.
         upstream: id::Upstream,
         /// Whether the engine accepted the order; false also if it did not answer.
@@ -247,7 +247,7 @@
     },
     /// The owner of the claim's shard has recorded the outcome of an attempt, so the answer may be sent to the caller.
     /// May be emitted more than once for an attempt.
-    Noted {
+    OutcomeRecorded {
         /// The attempt whose outcome is recorded.
         attempt: id::Attempt,
     },
--- a/crates/stairvale-control/src/orders.rs
+++ b/crates/stairvale-control/src/orders.rs
@@ -57,12 +57,12 @@
     /// The configured model.
     pub load: Loaded,
     /// Whether the engine checks fencing tokens.
-    pub checks: bool,
+    pub checks_tokens: bool,
 }
 
 /// A call to the platform's store about the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum StoreCall {
     /// Creates the lease and its key if there is none.
     Acquire,
     /// Renews the lease.
@@ -93,14 +93,14 @@
 impl Machine {
     /// The fencing token if this router may give orders now, by its own clock; `None` if it may not.
     #[must_use]
-    pub fn holds(&self, now: Moment) -> Option<u64> {
+    pub fn fencing_token(&self, now: Moment) -> Option<u64> {
         let held = self.held.filter(|held| now.since(held.sent) + LEASE_MARGIN < LEASE)?;
         Some(held.token)
     }
 
     /// Advances the time and returns a call about the lease if one is due. `chosen` states whether this router should
     /// hold the lease.
-    pub fn tick(&mut self, now: Moment, chosen: bool) -> Option<Wish> {
+    pub fn tick(&mut self, now: Moment, chosen: bool) -> Option<StoreCall> {
         if self.held.is_some_and(|held| now.since(held.sent) >= LEASE) {
             self.held = None;
         }
@@ -111,7 +111,7 @@
         }
         self.last_try = Some(now);
         self.call_sent = Some(now);
-        Some(if self.held.is_some() { Wish::Renew } else { Wish::Acquire })
+        Some(if self.held.is_some() { StoreCall::Renew } else { StoreCall::Acquire })
     }
 
     /// Handles the answer to the latest call. Returns `Some(true)` if this router acquired the lease, `Some(false)` if
@@ -137,7 +137,7 @@
 
     /// The next order to give, if one is due and allowed.
     pub fn next(&mut self, now: Moment, needs: &[Need]) -> Option<Order> {
-        let token = self.holds(now)?;
+        let token = self.fencing_token(now)?;
         let since = self.held?.since;
         if self.last_order.is_some_and(|at| now.since(at) < ORDER_INTERVAL) {
             return None;
@@ -148,7 +148,7 @@
             last.is_none_or(|(load, at)| load != &need.load || now.since(*at) >= REPEAT_INTERVAL)
         };
         let waited_out = now.since(since) >= LEASE;
-        let need = needs.iter().filter(is_due).find(|need| need.checks || waited_out)?;
+        let need = needs.iter().filter(is_due).find(|need| need.checks_tokens || waited_out)?;
         self.last_order = Some(now);
         self.issued.insert(need.upstream.clone(), (need.load.clone(), now));
         self.orders += 1;
--- a/crates/stairvale-control/src/sweep.rs
+++ b/crates/stairvale-control/src/sweep.rs
@@ -14,10 +14,10 @@
 use crate::io::Answer;
 
 /// Time for which a chunk is kept after its document went out of force, since routers that lag may still fetch it.
-pub const KEEP: Duration = Duration::from_secs(1_800);
+pub const CHUNK_RETENTION: Duration = Duration::from_secs(1_800);
 /// Delay between reading a chunk's revision and checking that the manifest lacks the chunk. It has to exceed the
 /// duration of a submission, which takes seconds.
-pub const HOLD: Duration = Duration::from_secs(600);
+pub const CONFIRM_DELAY: Duration = Duration::from_secs(600);
 /// Maximum number of chunks that one sweep deletes.
 const BATCH_SIZE: usize = 64;
 /// Maximum number of chunks that wait to be deleted. Chunks beyond it are never deleted.
@@ -27,7 +27,7 @@
 
 /// A call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum StoreCall {
     /// Reads a chunk's revision.
     ReadChunk(Digest),
     /// Reads the manifest to find the chunks in force.
@@ -89,23 +89,23 @@
 
     /// Advances the time and returns the next call to the store, if any. `chosen` states whether this router is the one
     /// that sweeps.
-    pub fn tick(&mut self, now: Moment, chosen: bool) -> Option<Wish> {
+    pub fn tick(&mut self, now: Moment, chosen: bool) -> Option<StoreCall> {
         if !chosen {
             self.phase = Phase::Idle;
             return None;
         }
         match &self.phase {
             Phase::Idle if now >= self.retry_at => self.begin(now),
-            Phase::Holding(since) if now.since(*since) >= HOLD => {
+            Phase::Holding(since) if now.since(*since) >= CONFIRM_DELAY => {
                 self.phase = Phase::Checking;
-                Some(Wish::ReadManifest)
+                Some(StoreCall::ReadManifest)
             }
             Phase::Idle | Phase::Reading(_) | Phase::Holding(_) | Phase::Checking | Phase::Deleting => None,
         }
     }
 
     /// Handles the store's answer to the latest call and returns the next call, if any.
-    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<Wish> {
+    pub fn answer(&mut self, now: Moment, answer: &Answer) -> Option<StoreCall> {
         match (std::mem::take(&mut self.phase), answer) {
             (Phase::Reading(left), Answer::Value(value)) => self.found(now, left, value.as_ref()),
             (Phase::Checking, Answer::Value(Some((text, _)))) => self.check(text),
@@ -126,16 +126,16 @@
 
     // ------------------------------------------------------------------------
 
-    fn begin(&mut self, now: Moment) -> Option<Wish> {
-        let due = self.retired.iter().filter(|(_, retired)| now.since(**retired) >= KEEP);
+    fn begin(&mut self, now: Moment) -> Option<StoreCall> {
+        let due = self.retired.iter().filter(|(_, retired)| now.since(**retired) >= CHUNK_RETENTION);
         let due: Vec<_> = due.map(|(chunk, _)| *chunk).take(BATCH_SIZE).collect();
         self.batch.clear();
         let first = *due.last()?;
         self.phase = Phase::Reading(due);
-        Some(Wish::ReadChunk(first))
+        Some(StoreCall::ReadChunk(first))
     }
 
-    fn found(&mut self, now: Moment, mut left: Vec<Digest>, value: Option<&(String, u64)>) -> Option<Wish> {
+    fn found(&mut self, now: Moment, mut left: Vec<Digest>, value: Option<&(String, u64)>) -> Option<StoreCall> {
         let chunk = left.pop()?;
         match value {
             Some((_, revision)) => self.batch.push(Candidate { chunk, revision: *revision }),
@@ -146,11 +146,11 @@
             return None;
         };
         self.phase = Phase::Reading(left);
-        Some(Wish::ReadChunk(next))
+        Some(StoreCall::ReadChunk(next))
     }
 
     /// Drops the chunks that are in force again, and starts to delete the others.
-    fn check(&mut self, manifest: &str) -> Option<Wish> {
+    fn check(&mut self, manifest: &str) -> Option<StoreCall> {
         let Ok(manifest) = serde_json::from_str::<Manifest>(manifest) else {
             return None;
         };
@@ -159,9 +159,9 @@
         self.delete()
     }
 
-    fn delete(&mut self) -> Option<Wish> {
+    fn delete(&mut self) -> Option<StoreCall> {
         let found = self.batch.last()?;
         self.phase = Phase::Deleting;
-        Some(Wish::Delete(found.chunk, found.revision))
+        Some(StoreCall::Delete(found.chunk, found.revision))
     }
 }
--- a/crates/stairvale-control/tests/fleet.rs
+++ b/crates/stairvale-control/tests/fleet.rs
@@ -354,7 +354,7 @@
     let mut world = World::settled(19, 2, 2);
     passed_per_second_under_overload(&mut world, 12);
     let job = "limits/limited";
-    let owner = world.routers["a-router-0"].node.fleet().keeper(job).unwrap();
+    let owner = world.routers["a-router-0"].node.fleet().owner(job).unwrap();
     world.kill_router(owner.as_str());
     let passed = passed_per_second_under_overload(&mut world, 16);
     assert!((16..=24).contains(&passed), "{passed} requests a second passed with a rate of 20/s");
@@ -391,7 +391,7 @@
 /// The router that gives the orders to the engines of a zone.
 fn order_holder(world: &World, zone: &str) -> String {
     let fleet = world.routers[&world.available_routers()[0]].node.fleet();
-    fleet.holder("orders", &zone.parse().unwrap()).unwrap().to_string()
+    fleet.zone_owner("orders", &zone.parse().unwrap()).unwrap().to_string()
 }
 
 fn assert_all_engines_loaded_new_version(world: &World) {
--- a/crates/stairvale-control/tests/orders.rs
+++ b/crates/stairvale-control/tests/orders.rs
@@ -7,7 +7,7 @@
 
 use stairvale_control::{
     io::Answer,
-    orders::{LEASE, Loaded, Machine, Need, Wish},
+    orders::{LEASE, Loaded, Machine, Need, StoreCall},
 };
 use stairvale_types::Moment;
 
@@ -16,7 +16,7 @@
         upstream: "engine".parse().unwrap(),
         address: "127.0.0.1:1".parse().unwrap(),
         load: Loaded { model: "m".into(), version: "2".into() },
-        checks,
+        checks_tokens: checks,
     }
 }
 
@@ -25,7 +25,7 @@
 /// A machine that has acquired the lease with this fencing token.
 fn holder(token: u64) -> Machine {
     let mut machine = Machine::default();
-    assert_eq!(machine.tick(ACQUIRED_AT, true), Some(Wish::Acquire));
+    assert_eq!(machine.tick(ACQUIRED_AT, true), Some(StoreCall::Acquire));
     assert_eq!(machine.answer(ACQUIRED_AT, &Answer::Written(token)), Some(true));
     machine
 }
@@ -34,7 +34,7 @@
 fn only_the_holder_gives_orders_and_they_carry_its_token() {
     let mut other = Machine::default();
     assert_eq!(other.tick(ACQUIRED_AT, false), None, "a router that isn't chosen doesn't acquire the lease");
-    assert_eq!(other.tick(ACQUIRED_AT, true), Some(Wish::Acquire));
+    assert_eq!(other.tick(ACQUIRED_AT, true), Some(StoreCall::Acquire));
     assert_eq!(other.answer(ACQUIRED_AT, &Answer::Conflict), None);
     assert_eq!(other.next(ACQUIRED_AT, &[need(true)]), None);
     let mut machine = holder(42);
@@ -50,18 +50,18 @@
         None,
         "a holder must not give orders after a pause in which its lease may have expired"
     );
-    assert_eq!(machine.holds(late), None);
+    assert_eq!(machine.fencing_token(late), None);
 }
 
 #[test]
 fn a_renewed_lease_counts_from_the_time_the_renewal_was_sent() {
     let mut machine = holder(1);
     let sent = ACQUIRED_AT + Duration::from_secs(2);
-    assert_eq!(machine.tick(sent, true), Some(Wish::Renew));
+    assert_eq!(machine.tick(sent, true), Some(StoreCall::Renew));
     let answered = sent + Duration::from_millis(1_500);
     machine.answer(answered, &Answer::Written(0));
-    assert_eq!(machine.holds(sent + Duration::from_millis(3_900)), Some(1));
-    assert_eq!(machine.holds(sent + Duration::from_millis(4_000)), None);
+    assert_eq!(machine.fencing_token(sent + Duration::from_millis(3_900)), Some(1));
+    assert_eq!(machine.fencing_token(sent + Duration::from_millis(4_000)), None);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let mut machine = holder(1);
     machine.tick(ACQUIRED_AT + Duration::from_secs(2), true);
     assert_eq!(machine.answer(ACQUIRED_AT + Duration::from_secs(2), &Answer::Conflict), Some(false));
-    assert_eq!(machine.holds(ACQUIRED_AT + Duration::from_secs(2)), None);
+    assert_eq!(machine.fencing_token(ACQUIRED_AT + Duration::from_secs(2)), None);
 }
 
 #[test]
--- a/crates/stairvale-control/tests/spec.rs
+++ b/crates/stairvale-control/tests/spec.rs
@@ -189,7 +189,7 @@
         let before = self.holders[router].generation();
         self.now = self.now + std::time::Duration::from_millis(1);
         let mut effects = self.holders[router].offer(self.now, None, manifest.clone());
-        effects.extend(self.holders[router].take(chunks));
+        effects.extend(self.holders[router].add_chunks(chunks));
         let taken = effects.iter().any(|effect| matches!(effect, Effect::InForce(..)));
         self.moves_made.insert(if taken { "take" } else { "refuse" });
         assert_eq!(taken, manifest.generation() > before);
--- a/crates/stairvale-control/tests/sweep.rs
+++ b/crates/stairvale-control/tests/sweep.rs
@@ -12,7 +12,7 @@
 use stairvale_control::{
     apply::{self, Intent, Machine, Outcome, Step, Submission},
     io::{Action, Answer},
-    sweep::{self, HOLD, KEEP, Wish},
+    sweep::{self, CONFIRM_DELAY, CHUNK_RETENTION, StoreCall},
 };
 use stairvale_types::Moment;
 use store::Store;
@@ -24,7 +24,7 @@
     store: Store,
     sweep: sweep::Machine,
     /// The sweep's store call that hasn't been carried out yet.
-    pending_call: Option<Wish>,
+    pending_call: Option<StoreCall>,
     submissions: Vec<Option<(Machine, Step)>>,
     now: Moment,
     submission_count: u64,
@@ -87,9 +87,9 @@
             return;
         };
         let (key, action) = match call {
-            Wish::ReadChunk(chunk) => (apply::chunk_key(chunk), Action::Read),
-            Wish::ReadManifest => (apply::MANIFEST_KEY.to_owned(), Action::Read),
-            Wish::Delete(chunk, revision) => (apply::chunk_key(chunk), Action::Delete { revision }),
+            StoreCall::ReadChunk(chunk) => (apply::chunk_key(chunk), Action::Read),
+            StoreCall::ReadManifest => (apply::MANIFEST_KEY.to_owned(), Action::Read),
+            StoreCall::Delete(chunk, revision) => (apply::chunk_key(chunk), Action::Delete { revision }),
         };
         let answer = self.call(&key, action, lost);
         self.pending_call = self.sweep.answer(self.now, &answer);
@@ -125,12 +125,12 @@
         harness.apply(document);
     }
     assert_eq!(harness.store.count("config/chunk/"), 4);
-    harness.advance_time(KEEP);
+    harness.advance_time(CHUNK_RETENTION);
     for _ in 0..20 {
         harness.step_sweep(false);
     }
     assert_eq!(harness.store.count("config/chunk/"), 4, "no chunk is deleted before the hold time is over");
-    harness.advance_time(HOLD);
+    harness.advance_time(CONFIRM_DELAY);
     for _ in 0..20 {
         harness.step_sweep(false);
     }
@@ -143,15 +143,15 @@
     let mut harness = Harness::new();
     harness.apply(0);
     harness.apply(1);
-    harness.advance_time(KEEP);
+    harness.advance_time(CHUNK_RETENTION);
     for _ in 0..4 {
         harness.step_sweep(false);
     }
-    harness.advance_time(HOLD);
+    harness.advance_time(CONFIRM_DELAY);
     // The sweep has read the manifest, and a submission uses the chunk again before the chunk is deleted.
     harness.step_sweep(false);
     harness.step_sweep(false);
-    assert!(matches!(harness.pending_call, Some(Wish::Delete(..))), "{:?}", harness.pending_call);
+    assert!(matches!(harness.pending_call, Some(StoreCall::Delete(..))), "{:?}", harness.pending_call);
     harness.apply(0);
     harness.step_sweep(false);
     assert!(harness.has_all_chunks_in_force(), "the chunk in force was deleted");
@@ -167,8 +167,8 @@
             0 if harness.submissions[operator].is_none() => harness.submit(operator, number / 2),
             0..=3 => harness.step_submission(operator, lost),
             4..=5 => harness.step_sweep(lost),
-            6 => harness.advance_time(HOLD),
-            _ => harness.advance_time(KEEP),
+            6 => harness.advance_time(CONFIRM_DELAY),
+            _ => harness.advance_time(CHUNK_RETENTION),
         }
         if !harness.has_all_chunks_in_force() {
             return TestResult::failed();
--- a/crates/stairvale-control/tests/world/callers.rs
+++ b/crates/stairvale-control/tests/world/callers.rs
@@ -34,7 +34,7 @@
         let customer: id::Customer = "limited".parse().unwrap();
         let fraction = self.shares.get(&(router.to_owned(), customer.clone())).copied().unwrap_or(Fraction::ALL);
         let passed = self.rng.random_ratio(fraction.millionths(), 1_000_000);
-        self.input_now(router, Input::Asked { customer, passed });
+        self.input_now(router, Input::RateLimitChecked { customer, passed });
         passed
     }
 
--- a/crates/stairvale-control/tests/world/mod.rs
+++ b/crates/stairvale-control/tests/world/mod.rs
@@ -27,7 +27,7 @@
 use stairvale_control::{
     Input, Node, Output,
     apply::{Intent, Machine, Outcome, Step, Submission},
-    io::{Action, Answer, Call, Purpose, Report, Request},
+    io::{Action, Answer, Call, Purpose, ProbeAnswer, Request},
     node::{Policy, Settings, TICK},
     orders::{Loaded, Order},
 };
@@ -424,7 +424,7 @@
                 }
             }
             Output::Claimed { attempt, verdict } => self.record_verdict(name, attempt, &verdict),
-            Output::Noted { attempt } => drop(self.answered.insert(attempt)),
+            Output::OutcomeRecorded { attempt } => drop(self.answered.insert(attempt)),
             Output::Probe { upstream, .. } => self.probe(name, &upstream),
             Output::Store(call) => {
                 let incarnation = self.routers[name].incarnation;
--- a/crates/stairvale-control/tests/world/parts.rs
+++ b/crates/stairvale-control/tests/world/parts.rs
@@ -120,7 +120,7 @@
         let interrupted: Vec<_> = engine.running.drain().collect();
         for (attempt, entry) in interrupted {
             self.request_states.insert(attempt, RequestState::Done);
-            let input = Input::End { attempt, success: Some(false), unreachable: false };
+            let input = Input::AttemptEnded { attempt, success: Some(false), unreachable: false };
             self.input_now(&entry, input);
         }
     }
--- a/crates/stairvale-control/tests/world/upstreams.rs
+++ b/crates/stairvale-control/tests/world/upstreams.rs
@@ -14,7 +14,7 @@
         let incarnation = self.routers[name].incarnation;
         let reached = self.can_reach(name, upstream.as_str());
         let engine = &self.engines[upstream.as_str()];
-        let report = reached.then(|| Report {
+        let report = reached.then(|| ProbeAnswer {
             boot: engine.boot,
             change: engine.change,
             state: if engine.draining { State::Draining } else { State::Serving },
@@ -35,7 +35,7 @@
         engine.stale_orders += u64::from(order.token < engine.highest_token);
         engine.highest_token = engine.highest_token.max(order.token);
         engine.loaded = Some(order.load.clone());
-        self.input_now(name, Input::Ordered { upstream: order.upstream.clone(), taken: true });
+        self.input_now(name, Input::OrderAnswered { upstream: order.upstream.clone(), taken: true });
     }
 
     /// Starts a granted request at its upstream and schedules its end.
@@ -54,7 +54,7 @@
         self.grants.push((self.now, grant));
         if !self.can_reach(name, upstream.as_str()) {
             let incarnation = self.routers[name].incarnation;
-            let input = Input::End { attempt, success: Some(false), unreachable: true };
+            let input = Input::AttemptEnded { attempt, success: Some(false), unreachable: true };
             self.schedule(self.now + 1_000, Event::Input(name.to_owned(), incarnation, input));
             self.request_states.insert(attempt, RequestState::Done);
             return;
@@ -76,7 +76,7 @@
         }
         if matches!(self.request_states.get(&attempt), Some(RequestState::Running(_) | RequestState::Waiting)) {
             self.request_states.insert(attempt, RequestState::Done);
-            let input = Input::End { attempt, success: Some(true), unreachable: false };
+            let input = Input::AttemptEnded { attempt, success: Some(true), unreachable: false };
             self.input_now(name, input);
         }
     }
--- a/crates/stairvale-router/src/caller.rs
+++ b/crates/stairvale-router/src/caller.rs
@@ -139,7 +139,7 @@
     };
     let admitted = limit.admit(shared.now());
     let customer = head.account.customer.name.clone();
-    shared.notify_control(Input::Asked { customer, passed: admitted.is_ok() });
+    shared.notify_control(Input::RateLimitChecked { customer, passed: admitted.is_ok() });
     admitted.map_err(|wait| Refusal::new(Reason::Limit, wait))
 }
 
--- a/crates/stairvale-router/src/control.rs
+++ b/crates/stairvale-router/src/control.rs
@@ -105,7 +105,7 @@
 
     fn handle(&mut self, input: Input) {
         let now_ms = self.shared.store.now_ms().unwrap_or_else(audit::now_ms);
-        if let Input::End { attempt, .. } = &input {
+        if let Input::AttemptEnded { attempt, .. } = &input {
             self.pending_permits.remove(attempt);
         }
         let outputs = self.node.handle(self.shared.now(), now_ms, input);
@@ -133,7 +133,7 @@
                 let reply = self.pending_permits.remove(&attempt);
                 let abandoned = reply.is_none_or(|reply| reply.send(Ok(grant)).is_err());
                 if abandoned {
-                    self.shared.notify_control(Input::End { attempt, success: None, unreachable: false });
+                    self.shared.notify_control(Input::AttemptEnded { attempt, success: None, unreachable: false });
                 }
             }
             Output::Refused { attempt, refusal } => {
@@ -146,7 +146,7 @@
                     let _ = reply.send(verdict);
                 }
             }
-            Output::Noted { attempt } => {
+            Output::OutcomeRecorded { attempt } => {
                 if let Some(reply) = self.pending_settles.remove(&attempt) {
                     // Sending fails if the request stopped waiting; its answer is sent to the caller regardless.
                     let _ = reply.send(());
--- a/crates/stairvale-router/src/guard.rs
+++ b/crates/stairvale-router/src/guard.rs
@@ -44,7 +44,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let Self { attempt, success, unreachable, .. } = *self;
-        self.shared.notify_control(Input::End { attempt, success, unreachable });
+        self.shared.notify_control(Input::AttemptEnded { attempt, success, unreachable });
     }
 }
 
--- a/crates/stairvale-router/src/probes.rs
+++ b/crates/stairvale-router/src/probes.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use stairvale_control::{
     Input,
-    io::Report,
+    io::ProbeAnswer,
     orders::{Loaded, Order},
 };
 use stairvale_types::id;
@@ -82,10 +82,10 @@
     /// Sends an order to an engine and reports to the control thread whether the engine accepted it.
     pub async fn order(self, order: Order, endpoint: Endpoint) {
         let accepted = tokio::time::timeout(PROBE_TIMEOUT, self.send_order(&order, &endpoint)).await.ok().flatten();
-        self.shared.notify_control(Input::Ordered { upstream: order.upstream, taken: accepted.unwrap_or(false) });
+        self.shared.notify_control(Input::OrderAnswered { upstream: order.upstream, taken: accepted.unwrap_or(false) });
     }
 
-    async fn request_status(&self, endpoint: &Endpoint) -> Option<Report> {
+    async fn request_status(&self, endpoint: &Endpoint) -> Option<ProbeAnswer> {
         if self.shared.faults.is_zone_cut(&endpoint.zone) {
             return None;
         }
@@ -101,7 +101,7 @@
         let status: Status = serde_json::from_slice(&body).ok()?;
         let state = if status.state == "serving" { State::Serving } else { State::Draining };
         let model = status.model.zip(status.version).map(|(model, version)| Loaded { model, version });
-        Some(Report { boot: status.boot, change: status.change, state, load: status.load, model })
+        Some(ProbeAnswer { boot: status.boot, change: status.change, state, load: status.load, model })
     }
 
     async fn send_order(&self, order: &Order, endpoint: &Endpoint) -> Option<bool> {
--- a/crates/stairvale-router/src/upstream.rs
+++ b/crates/stairvale-router/src/upstream.rs
@@ -222,7 +222,7 @@
         }
         let values = response.headers().get_all(header::RETRY_AFTER).into_iter();
         if let Rest::For(length) = Rest::read(values.map(|value| value.to_str().unwrap_or_default())) {
-            self.shared.notify_control(Input::Rests { upstream: endpoint.upstream.clone(), length });
+            self.shared.notify_control(Input::BackOffRequested { upstream: endpoint.upstream.clone(), length });
         }
     }
 
