--- a/crates/stairvale-admission/src/budget.rs
+++ b/crates/stairvale-admission/src/budget.rs
@@ -3,7 +3,7 @@
 
 /// A retry budget, counted in thousandths of a retry.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     balance: u32,
     per_success: u32,
     cap: u32,
@@ -12,7 +12,7 @@
 /// Cost of one retry, in thousandths of a retry.
 const RETRY_COST: u32 = 1_000;
 
-impl Budget {
+impl RetryBudget {
     /// Creates a full budget that earns `percent` hundredths of a retry with each success and holds at most `cap`
     /// retries.
     #[must_use]
--- a/crates/stairvale-admission/src/lib.rs
+++ b/crates/stairvale-admission/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod queue;
 pub mod shares;
 
-pub use budget::Budget;
-pub use pace::Pace;
+pub use budget::RetryBudget;
+pub use pace::HoldTime;
 pub use queue::Queue;
 pub use shares::Shares;
--- a/crates/stairvale-admission/src/limit.rs
+++ b/crates/stairvale-admission/src/limit.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Requests that came in, refused ones included.
-    pub asked: u32,
+    pub requests: u32,
     /// Requests that passed.
     pub passed: u32,
     /// The share that the router applies. Reporting it saves the account's owner from recording what it sent to whom.
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn new(now: Moment, rate: unit::Rate) -> Self {
         let rate = rate.per_second();
-        Self { rate, created_at: now, last_report: now, request_rate: 0.0, tokens: burst(rate) }
+        Self { rate, created_at: now, last_report: now, request_rate: 0.0, tokens: burst_allowance(rate) }
     }
 
     // ------------------------------------------------------------------------
@@ -115,7 +115,7 @@
     pub fn fraction(&self) -> Fraction {
         let may_pass = (self.rate + self.tokens / CORRECTION_WINDOW.as_secs_f64()).max(0.0);
         // While half of the burst allowance is left, many requests in a short time are treated as coincidence.
-        let is_within = self.request_rate <= may_pass || self.tokens >= burst(self.rate) / 2.0;
+        let is_within = self.request_rate <= may_pass || self.tokens >= burst_allowance(self.rate) / 2.0;
         if is_within { Fraction::ALL } else { Fraction(may_pass / self.request_rate) }
     }
 
@@ -125,17 +125,17 @@
     /// Sets the configured rate, which may have changed, and caps the tokens at the new burst allowance.
     pub fn set_rate(&mut self, rate: unit::Rate) {
         self.rate = rate.per_second();
-        self.tokens = self.tokens.min(burst(self.rate));
+        self.tokens = self.tokens.min(burst_allowance(self.rate));
     }
 
     /// Records a router's usage report. Returns the share to send to that router, if it needs a new one.
     #[must_use]
-    pub fn hear(&mut self, now: Moment, usage: Usage) -> Option<Fraction> {
+    pub fn record_usage(&mut self, now: Moment, usage: Usage) -> Option<Fraction> {
         let elapsed = now.since(self.last_report).as_secs_f64();
         self.last_report = now;
         let decay = (-elapsed / RATE_TIME_CONSTANT.as_secs_f64()).exp();
-        self.request_rate = self.request_rate * decay + f64::from(usage.asked) / RATE_TIME_CONSTANT.as_secs_f64();
-        let burst = burst(self.rate);
+        self.request_rate = self.request_rate * decay + f64::from(usage.requests) / RATE_TIME_CONSTANT.as_secs_f64();
+        let burst = burst_allowance(self.rate);
         // The lower bound limits how long a customer pays for what many routers let pass before they received a share.
         self.tokens = (self.tokens + elapsed * self.rate - f64::from(usage.passed)).clamp(-burst, burst);
         let fraction = self.fraction();
@@ -147,7 +147,7 @@
 
 /// The burst allowance in requests for a rate in requests a second.
 #[must_use]
-pub fn burst(rate: f64) -> f64 {
+pub fn burst_allowance(rate: f64) -> f64 {
     (rate * BURST_WINDOW.as_secs_f64()).max(MIN_BURST)
 }
 
@@ -155,7 +155,7 @@
 
 /// One router's limiter for a customer: lets the share of requests pass that the account's owner sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Share {
+pub struct ShareLimiter {
     fraction: Fraction,
     received_at: Moment,
     /// Accumulated shares of the requests so far, in requests; each whole one lets a request pass.
@@ -166,13 +166,13 @@
 /// only one request.
 const INITIAL_CREDIT: f64 = 0.5;
 
-impl Default for Share {
+impl Default for ShareLimiter {
     fn default() -> Self {
         Self { fraction: Fraction::ALL, received_at: Moment::ZERO, credit: INITIAL_CREDIT }
     }
 }
 
-impl Share {
+impl ShareLimiter {
     /// Applies a share received from the account's owner.
     pub fn set(&mut self, now: Moment, fraction: Fraction) {
         self.fraction = fraction;
@@ -256,13 +256,13 @@
     }
 
     /// Takes the usage that is due to be reported now.
-    pub fn due(&mut self, now: Moment) -> Vec<(id::Customer, Usage)> {
+    pub fn take_due(&mut self, now: Moment) -> Vec<(id::Customer, Usage)> {
         let is_due = |unreported: &Unreported| {
             unreported.requests >= unreported.early_report_at || now.since(unreported.since) >= REPORT_INTERVAL
         };
         let usage = |(customer, unreported): (&id::Customer, &Unreported)| {
             let fraction = self.fraction(now, customer);
-            (customer.clone(), Usage { asked: unreported.requests, passed: unreported.passed, fraction })
+            (customer.clone(), Usage { requests: unreported.requests, passed: unreported.passed, fraction })
         };
         let due = self.unreported.iter().filter(|(_, unreported)| is_due(unreported)).map(usage).collect();
         self.unreported.retain(|_, unreported| !is_due(unreported));
--- a/crates/stairvale-admission/src/pace.rs
+++ b/crates/stairvale-admission/src/pace.rs
@@ -7,11 +7,11 @@
 
 /// An exponential moving mean of the time for which permits are held.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct HoldTime {
     mean_us: u64,
 }
 
-impl Pace {
+impl HoldTime {
     /// Adds the time for which a permit was held.
     pub fn observe(&mut self, held: Duration) {
         let held = u64::try_from(held.as_micros()).unwrap_or(u64::MAX / MEAN_DIVISOR);
@@ -24,13 +24,13 @@
 
     /// The mean time for which a permit is held; zero before the first observation.
     #[must_use]
-    pub fn held(&self) -> Duration {
+    pub fn mean(&self) -> Duration {
         Duration::from_micros(self.mean_us)
     }
 
     /// The expected wait behind `ahead` others at an upstream that serves `slots` requests at once.
     #[must_use]
-    pub fn wait(&self, ahead: usize, slots: u32) -> Duration {
+    pub fn expected_wait(&self, ahead: usize, slots: u32) -> Duration {
         let turns = ahead as u64 + 1;
         Duration::from_micros(self.mean_us.saturating_mul(turns) / u64::from(slots.max(1)))
     }
--- a/crates/stairvale-admission/src/queue.rs
+++ b/crates/stairvale-admission/src/queue.rs
@@ -21,7 +21,7 @@
     /// The priority class, before ageing.
     pub class: Class,
     /// The time from which waiting is of no more use and the item expires.
-    pub until: Moment,
+    pub expires_at: Moment,
     enqueued_at: Moment,
     /// Virtual finish time, by start-time fair queueing (Goyal, Vin, Cheng, 1996).
     tag: u64,
@@ -32,7 +32,7 @@
     /// Creates an item that may wait until `until`, with weight 1.
     #[must_use]
     pub fn new(value: T, customer: id::Customer, class: Class, until: Moment) -> Self {
-        Self { value, customer, weight: 1, class, until, enqueued_at: Moment::ZERO, tag: 0, sequence: 0 }
+        Self { value, customer, weight: 1, class, expires_at: until, enqueued_at: Moment::ZERO, tag: 0, sequence: 0 }
     }
 
     /// Sets the customer's weight; zero counts as one.
@@ -99,7 +99,7 @@
 
     /// The number of items that would be served before a new item of this customer and class, without further ageing.
     #[must_use]
-    pub fn ahead(&self, now: Moment, customer: &id::Customer, weight: u32, class: Class) -> usize {
+    pub fn count_ahead(&self, now: Moment, customer: &id::Customer, weight: u32, class: Class) -> usize {
         let tag = self.next_tag(customer, weight);
         let level = class.index() as u64;
         let before = |item: &&Item<T>| (item.level(now), item.tag) <= (level, tag);
@@ -147,7 +147,7 @@
 
     /// Removes and returns the items whose deadline has passed.
     pub fn expire(&mut self, now: Moment) -> Vec<Item<T>> {
-        let expired: Vec<_> = self.items.extract_if(.., |item| item.until <= now).collect();
+        let expired: Vec<_> = self.items.extract_if(.., |item| item.expires_at <= now).collect();
         for item in &expired {
             self.update_last_tag(&item.customer);
         }
--- a/crates/stairvale-admission/src/shares.rs
+++ b/crates/stairvale-admission/src/shares.rs
@@ -23,19 +23,19 @@
 
 impl Shares {
     /// Records a request of a customer with its weight; zero counts as one.
-    pub fn notice(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
+    pub fn record_request(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
         let weight = weight.max(1);
         self.competitors.insert(customer.clone(), Competitor { weight, last_request: now });
     }
 
     /// Removes customers without a recent request.
-    pub fn age(&mut self, now: Moment) {
+    pub fn remove_inactive(&mut self, now: Moment) {
         self.competitors.retain(|_, competitor| now.since(competitor.last_request) < ACTIVE_WINDOW);
     }
 
     /// A customer's share of `slots`, rounded up; `None` if no other customer competes.
     #[must_use]
-    pub fn of(&self, now: Moment, customer: &id::Customer, slots: u32) -> Option<u32> {
+    pub fn share_of(&self, now: Moment, customer: &id::Customer, slots: u32) -> Option<u32> {
         let active =
             self.competitors.iter().filter(|(_, competitor)| now.since(competitor.last_request) < ACTIVE_WINDOW);
         let mut total_weight = 0_u64;
@@ -60,7 +60,7 @@
 /// The number of `slots` that customers beyond their shares may fill, at least one. The rest is reserved for customers
 /// within their shares.
 #[must_use]
-pub const fn unreserved(slots: u32) -> u32 {
+pub const fn unreserved_slots(slots: u32) -> u32 {
     let left = slots - slots.div_ceil(RESERVE_DIVISOR);
     if left == 0 { 1 } else { left }
 }
--- a/crates/stairvale-admission/tests/admission.rs
+++ b/crates/stairvale-admission/tests/admission.rs
@@ -7,9 +7,9 @@
 
 use quickcheck::quickcheck;
 use stairvale_admission::{
-    Budget, Pace, Queue, Shares,
+    RetryBudget, HoldTime, Queue, Shares,
     queue::{AGE_STEP, Full, Item},
-    shares::unreserved,
+    shares::unreserved_slots,
 };
 use stairvale_types::{Class, Moment, id};
 
@@ -105,18 +105,18 @@
 #[test]
 fn shares_count_only_customers_with_recent_requests() {
     let mut shares = Shares::default();
-    shares.notice(Moment::ZERO, &customer("a"), 1);
-    assert_eq!(shares.of(Moment::ZERO, &customer("a"), 32), None, "a single customer may use all slots");
-    shares.notice(Moment::ZERO, &customer("b"), 3);
-    assert_eq!(shares.of(Moment::ZERO, &customer("a"), 32), Some(8));
-    assert_eq!(shares.of(Moment::from_millis(6_000), &customer("a"), 32), None);
-    assert_eq!(unreserved(32), 24);
-    assert_eq!(unreserved(1), 1);
+    shares.record_request(Moment::ZERO, &customer("a"), 1);
+    assert_eq!(shares.share_of(Moment::ZERO, &customer("a"), 32), None, "a single customer may use all slots");
+    shares.record_request(Moment::ZERO, &customer("b"), 3);
+    assert_eq!(shares.share_of(Moment::ZERO, &customer("a"), 32), Some(8));
+    assert_eq!(shares.share_of(Moment::from_millis(6_000), &customer("a"), 32), None);
+    assert_eq!(unreserved_slots(32), 24);
+    assert_eq!(unreserved_slots(1), 1);
 }
 
 #[test]
 fn retries_are_limited_to_a_share_of_successes() {
-    let mut budget = Budget::new(10, 5);
+    let mut budget = RetryBudget::new(10, 5);
     assert_eq!((0..100).filter(|_| budget.spend()).count(), 5);
     for _ in 0..100 {
         budget.earn();
@@ -130,12 +130,12 @@
 
 #[test]
 fn predicted_waits_follow_observed_hold_times() {
-    let mut pace = Pace::default();
-    assert_eq!(pace.wait(10, 4), Duration::ZERO, "no wait is predicted before the first observation");
+    let mut pace = HoldTime::default();
+    assert_eq!(pace.expected_wait(10, 4), Duration::ZERO, "no wait is predicted before the first observation");
     for _ in 0..50 {
         pace.observe(Duration::from_millis(400));
     }
-    assert_eq!(pace.wait(3, 4).as_millis(), 400);
+    assert_eq!(pace.expected_wait(3, 4).as_millis(), 400);
 }
 
 quickcheck! {
--- a/crates/stairvale-admission/tests/limit.rs
+++ b/crates/stairvale-admission/tests/limit.rs
@@ -10,7 +10,7 @@
 
 use crowd::{Scenario, Simulation, rate};
 use quickcheck::quickcheck;
-use stairvale_admission::limit::{Account, Fraction, SHARE_TTL, Share, Usage};
+use stairvale_admission::limit::{Account, Fraction, SHARE_TTL, ShareLimiter, Usage};
 use stairvale_types::Moment;
 
 /// Time after which the shares have settled.
@@ -107,19 +107,19 @@
 fn a_new_account_does_not_replace_an_existing_share_during_warm_up() {
     let start = Moment::from_millis(10_000);
     let mut account = Account::new(start, rate(10.0));
-    let usage = Usage { asked: 1, passed: 0, fraction: Fraction::from_millionths(100_000) };
+    let usage = Usage { requests: 1, passed: 0, fraction: Fraction::from_millionths(100_000) };
     assert_eq!(
-        account.hear(start + Duration::from_millis(500), usage),
+        account.record_usage(start + Duration::from_millis(500), usage),
         None,
         "the previous owner's share stays during warm-up"
     );
-    assert_eq!(account.hear(start + Duration::from_millis(1_500), usage), Some(Fraction::ALL));
+    assert_eq!(account.record_usage(start + Duration::from_millis(1_500), usage), Some(Fraction::ALL));
 }
 
 #[test]
 fn a_share_that_is_not_refreshed_expires() {
     let now = Moment::from_millis(1_000);
-    let mut share = Share::default();
+    let mut share = ShareLimiter::default();
     share.set(now, Fraction::from_millionths(0));
     assert_eq!(share.pass(now), Err(Duration::from_secs(10)));
     assert_eq!(share.pass(now + SHARE_TTL), Ok(()));
@@ -132,7 +132,7 @@
         let mut account = Account::new(now, rate(10.0));
         usages.into_iter().all(|(wait, asked, passed)| {
             now = now + Duration::from_millis(u64::from(wait));
-            let update = account.hear(now, Usage { asked, passed: passed.min(asked), fraction: Fraction::ALL });
+            let update = account.record_usage(now, Usage { requests: asked, passed: passed.min(asked), fraction: Fraction::ALL });
             update.is_none_or(|fraction| fraction.millionths() <= 1_000_000)
         })
     }
@@ -140,7 +140,7 @@
     fn a_share_lets_its_fraction_of_requests_pass(millionths: u32, requests: u16) -> bool {
         let now = Moment::from_millis(1_000);
         let fraction = Fraction::from_millionths(millionths);
-        let mut share = Share::default();
+        let mut share = ShareLimiter::default();
         share.set(now, fraction);
         let passed = (0..requests).filter(|_| share.pass(now).is_ok()).count();
         let expected = f64::from(requests) * f64::from(fraction.millionths()) / 1e6;
--- a/crates/stairvale-admission/tests/limit_parts/crowd.rs
+++ b/crates/stairvale-admission/tests/limit_parts/crowd.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stairvale_admission::limit::{Account, Fraction, Meter, Share, Usage};
+use stairvale_admission::limit::{Account, Fraction, Meter, ShareLimiter, Usage};
 use stairvale_types::{Moment, id, unit};
 
 const STEP: Duration = Duration::from_millis(10);
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Router {
     meter: Meter,
-    share: Share,
+    share: ShareLimiter,
 }
 
 /// The simulated routers and the customer's account.
@@ -121,7 +121,7 @@
 
     fn send_reports(&mut self, outcome: &mut Outcome) {
         for (index, router) in self.routers.iter_mut().enumerate() {
-            for (_, usage) in router.meter.due(self.now) {
+            for (_, usage) in router.meter.take_due(self.now) {
                 outcome.usage_messages += 1;
                 self.usages.push_back((index, usage));
             }
@@ -134,7 +134,7 @@
             self.routers[index].share.set(self.now, fraction);
         }
         for (index, usage) in std::mem::take(&mut self.usages) {
-            if let Some(fraction) = self.account.hear(self.now, usage) {
+            if let Some(fraction) = self.account.record_usage(self.now, usage) {
                 outcome.share_messages += 1;
                 self.shares.push_back((index, fraction));
             }
--- a/crates/stairvale-control/src/handlers/limits.rs
+++ b/crates/stairvale-control/src/handlers/limits.rs
@@ -20,11 +20,11 @@
 
     pub(crate) fn tick_limits(&mut self) {
         let mut frames: BTreeMap<id::Router, Vec<Usage>> = BTreeMap::new();
-        for (customer, counted) in self.meter.due(self.now) {
+        for (customer, counted) in self.meter.take_due(self.now) {
             let Some(owner) = self.fleet.owner(&format!("limits/{customer}")) else {
                 continue;
             };
-            let Counted { asked, passed, fraction } = counted;
+            let Counted { requests: asked, passed, fraction } = counted;
             let usage = Usage { customer, asked, passed, millionths: fraction.millionths() };
             frames.entry(owner).or_default().push(usage);
         }
@@ -46,8 +46,8 @@
             let now = self.now;
             let account = self.limits.entry(customer.clone()).or_insert_with(|| Account::new(now, rate));
             account.set_rate(rate);
-            let counted = Counted { asked, passed, fraction: Fraction::from_millionths(millionths) };
-            if let Some(fraction) = account.hear(now, counted) {
+            let counted = Counted { requests: asked, passed, fraction: Fraction::from_millionths(millionths) };
+            if let Some(fraction) = account.record_usage(now, counted) {
                 self.send(from, Frame::Share { customer, millionths: fraction.millionths() });
             }
         }
--- a/crates/stairvale-control/src/node.rs
+++ b/crates/stairvale-control/src/node.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
-use stairvale_admission::{Budget, limit};
+use stairvale_admission::{RetryBudget, limit};
 use stairvale_claim::Shard;
 use stairvale_config::{Generation, Manifest};
 use stairvale_membership::{Swim, swim};
@@ -202,7 +202,7 @@
     /// Engines of this zone whose model differs from the configured one, with the model they have loaded and the time
     /// of their home's report.
     pub(crate) mismatched: BTreeMap<id::Upstream, (orders::Loaded, Moment)>,
-    pub(crate) budgets: HashMap<id::Service, Budget>,
+    pub(crate) budgets: HashMap<id::Service, RetryBudget>,
     /// Services of the attempts under way, to credit their retry budgets.
     pub(crate) attempt_services: HashMap<id::Attempt, id::Service>,
     /// Least loaded engines of each service with their load, from the latest mean report.
@@ -426,8 +426,8 @@
         self.rng.random()
     }
 
-    pub(crate) fn budget(&mut self, service: &id::Service) -> &mut Budget {
-        let new_budget = || Budget::new(RETRY_BUDGET_PERCENT, RETRY_BUDGET_CAP);
+    pub(crate) fn budget(&mut self, service: &id::Service) -> &mut RetryBudget {
+        let new_budget = || RetryBudget::new(RETRY_BUDGET_PERCENT, RETRY_BUDGET_CAP);
         self.budgets.entry(service.clone()).or_insert_with(new_budget)
     }
 }
--- a/crates/stairvale-permit/src/account.rs
+++ b/crates/stairvale-permit/src/account.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use stairvale_admission::{Pace, Queue, Shares};
+use stairvale_admission::{HoldTime, Queue, Shares};
 use stairvale_types::{Moment, id};
 use stairvale_wire::Ask;
 
@@ -48,7 +48,7 @@
 pub struct Account {
     pub(crate) held: HashMap<id::Attempt, Permit>,
     pub(crate) queue: Queue<QueuedRequest>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: HoldTime,
     pub(crate) open: bool,
     pub(crate) shares: Shares,
     reported: Option<u32>,
@@ -60,7 +60,7 @@
         Self {
             held: HashMap::new(),
             queue: Queue::new(queue_capacity),
-            pace: Pace::default(),
+            pace: HoldTime::default(),
             open: true,
             shares: Shares::default(),
             reported,
@@ -99,7 +99,7 @@
 
     /// Records that a customer requested a permit for this engine, so that it competes for the slots.
     pub(crate) fn record_request(&mut self, now: Moment, customer: &id::Customer, weight: u32) {
-        self.shares.notice(now, customer, weight);
+        self.shares.record_request(now, customer, weight);
     }
 
     /// Returns whether a customer holds at least its share of `slots` while other customers compete for the engine.
@@ -112,7 +112,7 @@
     pub(crate) fn demand_exceeds_share(&self, now: Moment, customer: &id::Customer, slots: u32) -> bool {
         let held = self.held.values().filter(|permit| permit.customer.as_ref() == Some(customer)).count();
         let queued = self.queue.iter().filter(|item| &item.customer == customer).count();
-        self.shares.of(now, customer, slots).is_some_and(|share| held + queued >= share as usize)
+        self.shares.share_of(now, customer, slots).is_some_and(|share| held + queued >= share as usize)
     }
 
     pub(crate) fn insert_permit(
@@ -167,7 +167,7 @@
 
     /// Removes permits that were not renewed within [`PERMIT_TTL`], and returns their number.
     pub(crate) fn expire_permits(&mut self, now: Moment) -> usize {
-        self.shares.age(now);
+        self.shares.remove_inactive(now);
         let before = self.held.len();
         self.held.retain(|_, permit| now.since(permit.renewed) < PERMIT_TTL);
         before - self.held.len()
@@ -190,5 +190,5 @@
     slots: u32,
 ) -> bool {
     let held = held.values().filter(|permit| permit.customer.as_ref() == Some(customer)).count();
-    shares.of(now, customer, slots).is_some_and(|share| held >= share as usize)
+    shares.share_of(now, customer, slots).is_some_and(|share| held >= share as usize)
 }
--- a/crates/stairvale-permit/src/decide.rs
+++ b/crates/stairvale-permit/src/decide.rs
@@ -4,7 +4,7 @@
 
 use stairvale_admission::{
     queue::{Full, Item},
-    shares::unreserved,
+    shares::unreserved_slots,
 };
 use stairvale_types::{Moment, Reason, Refusal, id};
 use stairvale_wire::{Ask, Verdict};
@@ -99,7 +99,7 @@
         let Some((rules, account)) = self.accounts.get(upstream) else {
             return false;
         };
-        account.outstanding(now).is_some_and(|outstanding| outstanding < unreserved(rules.slots))
+        account.outstanding(now).is_some_and(|outstanding| outstanding < unreserved_slots(rules.slots))
     }
 
     pub(crate) fn is_over_share(&self, now: Moment, queued: &QueuedRequest) -> bool {
@@ -200,8 +200,8 @@
         let Some((rules, account)) = self.accounts.get(&ask.upstream) else {
             return Duration::ZERO;
         };
-        let ahead = account.queue.ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class);
-        account.pace.wait(ahead, self.limit(now, rules))
+        let ahead = account.queue.count_ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class);
+        account.pace.expected_wait(ahead, self.limit(now, rules))
     }
 
     pub(crate) fn refuse(&mut self, queued: &QueuedRequest, reason: Reason, predicted: Duration) -> Answer {
@@ -274,9 +274,9 @@
             .filter(|item| {
                 let ask = &item.value.ask;
                 let ahead =
-                    account.queue.ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class).min(count);
+                    account.queue.count_ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class).min(count);
                 let ahead = ahead.saturating_sub(1);
-                now + account.pace.wait(ahead, limit) / 2 > item.until
+                now + account.pace.expected_wait(ahead, limit) / 2 > item.expires_at
             })
             .map(|item| item.value.clone())
             .collect();
--- a/crates/stairvale-router/src/limit.rs
+++ b/crates/stairvale-router/src/limit.rs
@@ -10,7 +10,7 @@
     DefaultDirectRateLimiter, Quota, RateLimiter,
     clock::{Clock, DefaultClock},
 };
-use stairvale_admission::limit::{self, Fraction, Share};
+use stairvale_admission::limit::{self, Fraction, ShareLimiter};
 use stairvale_types::{Moment, unit};
 
 /// Limits a customer to its full rate at this router, and to the share of the rate that the owner of the customer's
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Limit {
     full_rate: DefaultDirectRateLimiter,
-    share: Mutex<Share>,
+    share: Mutex<ShareLimiter>,
 }
 
 impl Limit {
@@ -46,7 +46,7 @@
     }
 
     /// Locks the share. A poisoned lock is used as it is, since the share is consistent after each single change.
-    fn lock_share(&self) -> MutexGuard<'_, Share> {
+    fn lock_share(&self) -> MutexGuard<'_, ShareLimiter> {
         self.share.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -54,7 +54,7 @@
 /// The limiter's quota for a rate, with the same burst that the customer's account allows.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn quota(rate: unit::Rate) -> Quota {
-    let burst = NonZeroU32::new(limit::burst(rate.per_second()).ceil() as u32).unwrap_or(NonZeroU32::MIN);
+    let burst = NonZeroU32::new(limit::burst_allowance(rate.per_second()).ceil() as u32).unwrap_or(NonZeroU32::MIN);
     let period = Duration::from_secs_f64(1.0 / rate.per_second());
     Quota::with_period(period).unwrap_or(Quota::per_second(burst)).allow_burst(burst)
 }
