--- a/crates/stairvale-serve/src/caller.rs
+++ b/crates/stairvale-serve/src/caller.rs
@@ -103,7 +103,7 @@
         },
         Err(problem) => {
             shared.metrics.count(problem.label());
-            let (version, age) = shared.look(|core, now| (core.table().version(), core.view().age(now)));
+            let (version, age) = shared.query(|core, now| (core.table().version(), core.view().age(now)));
             let age_ms = age.map(millis);
             let status = problem.status().as_u16();
             tracing::info!(id, version, age_ms, status, reason = problem.label(), "not taken");
@@ -111,7 +111,7 @@
         }
     };
     // A client that keeps its connection would stay with a router that the load balancer has taken out of service.
-    if shared.is_stopping() || !shared.look(Core::is_ready) {
+    if shared.is_stopping() || !shared.query(Core::is_ready) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     drop(in_flight);
@@ -145,7 +145,7 @@
 ) -> Result<Exchange<D>, Problem> {
     shared.until_configured(head.deadline.map_or(Duration::MAX, |deadline| deadline / STARTUP_WAIT_DIVISOR)).await;
     let table = shared.table.load_full();
-    let (current, trusted) = shared.look(|core, now| (core.is_current(now), core.trusts_keys(now)));
+    let (current, trusted) = shared.query(|core, now| (core.is_current(now), core.trusts_keys(now)));
     let not_ready = Problem::Refused(Refusal::new(Reason::NotReady, RETRY_AFTER));
     // A router whose configuration isn't current can't conclude that a key or a route doesn't exist.
     let missing = |problem| if current { problem } else { not_ready };
--- a/crates/stairvale-serve/src/control.rs
+++ b/crates/stairvale-serve/src/control.rs
@@ -31,9 +31,9 @@
                 shared.with(Core::tick);
                 ticks = ticks.wrapping_add(1);
                 if ticks.is_multiple_of(SWEEP_TICKS) {
-                    shared.upstreams.sweep(|upstream| shared.look(|core, _| core.place(upstream).is_some()));
+                    shared.upstreams.sweep(|upstream| shared.query(|core, _| core.usable_upstream(upstream).is_some()));
                 }
-                let busy = shared.look(|core, _| core.is_busy());
+                let busy = shared.query(|core, _| core.is_busy());
                 next = tokio::time::Instant::now() + if busy { BUSY_TICK_INTERVAL } else { TICK_INTERVAL };
             }
             received = socket.recv_from(&mut buffer) => {
--- a/crates/stairvale-serve/src/core/effect.rs
+++ b/crates/stairvale-serve/src/core/effect.rs
@@ -53,9 +53,9 @@
         address: SocketAddr,
     },
     /// Report to operators that an upstream was replaced by a new incarnation under the same name.
-    Begun(id::Upstream),
+    UpstreamReplaced(id::Upstream),
     /// End a request whose upstream was replaced by a new incarnation under the same name.
-    Over(id::Attempt),
+    EndRequest(id::Attempt),
     /// Put another configuration in force.
     Configured(Arc<Table>),
     /// Report that a zone was evacuated or is used again.
@@ -89,7 +89,7 @@
         record: Option<Box<Record>>,
     },
     /// Report to operators what the roll-out controller at this router found or did.
-    Say(Box<Event>),
+    ReportEvent(Box<Event>),
     /// Report that a customer started or stopped wanting more than its share of a service's capacity while requests
     /// wait.
     Surplus {
--- a/crates/stairvale-serve/src/core/entry.rs
+++ b/crates/stairvale-serve/src/core/entry.rs
@@ -21,7 +21,7 @@
 
     /// Takes one retry from the service's budget; `false` if it is exhausted.
     #[must_use]
-    pub fn spend(&mut self, now: Moment, service: &id::Service) -> bool {
+    pub fn take_retry(&mut self, now: Moment, service: &id::Service) -> bool {
         // A router that has just started doesn't know yet how many routers share the free part of the budget, so it
         // gets none of it.
         let routers = if self.knows_fleet(now) { self.routers() } else { usize::MAX };
@@ -42,7 +42,7 @@
     }
 
     /// Requests an upstream from this router's own account, regardless of other homes.
-    pub fn ask_self(&mut self, now: Moment, service: &id::Service, ask: Ask) -> Vec<Effect> {
+    pub fn decide_locally(&mut self, now: Moment, service: &id::Service, ask: Ask) -> Vec<Effect> {
         self.decide(now, service, ask)
     }
 
@@ -77,7 +77,7 @@
     /// The upstream that most recently received the longest known prefix of a prompt's shared blocks, and the length
     /// of that prefix in blocks.
     #[must_use]
-    pub fn seen(&self, parts: &[Part]) -> Option<(usize, id::Upstream)> {
+    pub fn last_upstream_of_prefix(&self, parts: &[Part]) -> Option<(usize, id::Upstream)> {
         self.recent_prefixes.find(parts)
     }
 
--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -89,7 +89,7 @@
     }
 
     /// Handles a stale read of the registrations of routers.
-    pub fn read_names(&mut self, now: Moment, items: Vec<Item>) -> Vec<Effect> {
+    pub fn read_registrations(&mut self, now: Moment, items: Vec<Item>) -> Vec<Effect> {
         self.registrations_read_at = Some(now);
         if !self.view.apply(StoreUpdate::Changes { after: 0, to: 0, items }) {
             return Vec::new();
--- a/crates/stairvale-serve/src/core/home.rs
+++ b/crates/stairvale-serve/src/core/home.rs
@@ -10,7 +10,7 @@
 use crate::frame::Frame;
 
 /// The counts of customers by name; `None` stands for requests without a customer.
-pub type Named = Vec<(Option<id::Customer>, Counts)>;
+pub type CustomerCounts = Vec<(Option<id::Customer>, Counts)>;
 
 impl Core {
     pub(super) fn handle_ask(
@@ -31,14 +31,14 @@
             | Effect::Frames { .. }
             | Effect::Reply { .. }
             | Effect::Inspect { .. }
-            | Effect::Begun(_)
-            | Effect::Over(_)
+            | Effect::UpstreamReplaced(_)
+            | Effect::EndRequest(_)
             | Effect::Configured(_)
             | Effect::Evacuated { .. }
             | Effect::Write(_)
             | Effect::WriteFor { .. }
             | Effect::Stage { .. }
-            | Effect::Say(_)
+            | Effect::ReportEvent(_)
             | Effect::Surplus { .. }
             | Effect::Quarantined { .. }
             | Effect::Leaves(_)
@@ -92,7 +92,7 @@
 
     /// For each service that this router is home of: the counts of the `max_named` largest customers, and the total
     /// of all others.
-    pub fn customers(&self, max_named: usize) -> impl Iterator<Item = (&id::Service, Named, Counts)> {
+    pub fn customers(&self, max_named: usize) -> impl Iterator<Item = (&id::Service, CustomerCounts, Counts)> {
         self.pools.iter().map(move |(service, pool)| {
             let (named, others) = pool.shares().counts(max_named);
             (service, named, others)
@@ -100,7 +100,7 @@
     }
 
     /// Handles an engine's report of the prompt prefixes that it holds.
-    pub fn inspected(&mut self, service: &id::Service, upstream: &id::Upstream, parts: Vec<Part>) -> Vec<Effect> {
+    pub fn record_inventory(&mut self, service: &id::Service, upstream: &id::Upstream, parts: Vec<Part>) -> Vec<Effect> {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.learn_prefixes(upstream, &parts);
         }
--- a/crates/stairvale-serve/src/core/knowledge.rs
+++ b/crates/stairvale-serve/src/core/knowledge.rs
@@ -42,7 +42,7 @@
         }
         self.update_roles(now);
         self.apply_quarantine_changes(now, &changed);
-        effects.extend(self.view.take_new_incarnations().into_iter().map(Effect::Begun));
+        effects.extend(self.view.take_new_incarnations().into_iter().map(Effect::UpstreamReplaced));
         effects.extend(self.end_replaced_upstreams(&changed));
         effects.extend(self.answer_deferred_syncs(now));
         // Roll-outs are applied before upstreams, so that an upstream that appears together with an order gets no
@@ -161,7 +161,7 @@
             {
                 let is_replaced = |id: &id::Upstream| id != &current.id && id.name() == *name;
                 let running = self.running.values().filter(|running| is_replaced(&running.held.upstream));
-                effects.extend(running.map(|running| Effect::Over(running.held.attempt)));
+                effects.extend(running.map(|running| Effect::EndRequest(running.held.attempt)));
             }
         }
         effects
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -44,7 +44,7 @@
 
 pub use effect::{Effect, Reply};
 pub use freshness::Reading;
-pub use home::Named;
+pub use home::CustomerCounts;
 
 /// Interval at which an entry router reports its running requests to their homes.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
@@ -250,7 +250,7 @@
 
     /// The upstream's entry, if it may still be sent new work.
     #[must_use]
-    pub fn place(&self, upstream: &id::Upstream) -> Option<Upstream> {
+    pub fn usable_upstream(&self, upstream: &id::Upstream) -> Option<Upstream> {
         // The upstream may have announced that it is leaving while its entry in the store doesn't show that yet, or
         // the store is unavailable.
         if !self.view.is_usable(upstream) || self.is_leaving(upstream) {
@@ -317,7 +317,7 @@
     }
 
     /// Records that a call of this router to the store failed.
-    pub fn disturbed(&mut self, now: Moment) {
+    pub fn record_store_failure(&mut self, now: Moment) {
         self.view.record_store_failure(now);
     }
 
--- a/crates/stairvale-serve/src/core/naming.rs
+++ b/crates/stairvale-serve/src/core/naming.rs
@@ -63,7 +63,7 @@
 
     /// The changes of the registrations that this router has to write as the fleet's reader.
     #[must_use]
-    pub fn naming(&self, now: Moment) -> Naming {
+    pub fn registration_changes(&self, now: Moment) -> Naming {
         let mut naming = Naming::default();
         if self.leaving || !self.is_reader(now) || self.is_older(now, self.bounds.stale()) {
             return naming;
@@ -94,7 +94,7 @@
     /// routers is alive, nobody can discover anybody, and each router takes itself for the reader. They then write at
     /// different times, so that the later ones find the first.
     #[must_use]
-    pub fn naming_settles(&self) -> Duration {
+    pub fn registration_delay(&self) -> Duration {
         let mut registered = self.view.routers().peekable();
         let none_alive = registered.peek().is_some() && !registered.any(|router| self.is_alive(&router.id));
         SETTLING_TIME.mul_f64(if none_alive { 1.0 + 2.0 * self.jitter() } else { 1.0 })
@@ -108,7 +108,7 @@
 
     /// All registrations that still hold, to be written again under a lease of this router.
     #[must_use]
-    pub fn names(&self) -> Naming {
+    pub fn current_registrations(&self) -> Naming {
         let put = self
             .view
             .routers()
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -56,7 +56,7 @@
 
 impl Core {
     /// Handles the notice in an upstream's answer to this router.
-    pub fn hear(&mut self, now: Moment, service: &id::Service, upstream: &id::Upstream, notice: Notice) -> Vec<Effect> {
+    pub fn handle_notice(&mut self, now: Moment, service: &id::Service, upstream: &id::Upstream, notice: Notice) -> Vec<Effect> {
         let mut effects = if notice.leaves { self.record_leaving(now, upstream) } else { Vec::new() };
         match notice.rest {
             Rest::Unasked => {}
@@ -77,13 +77,13 @@
 
     /// The number of remembered notices of upstreams.
     #[must_use]
-    pub fn remembered_notices(&self) -> usize {
+    pub fn notice_count(&self) -> usize {
         self.notices.leaving.len() + self.notices.rests.values().map(RapidHashMap::len).sum::<usize>()
     }
 
     /// The remaining rest that an upstream of a service asked this router for; `None` if there is none.
     #[must_use]
-    pub fn rest(&self, now: Moment, service: &id::Service, upstream: &id::Upstream) -> Option<Duration> {
+    pub fn remaining_rest(&self, now: Moment, service: &id::Service, upstream: &id::Upstream) -> Option<Duration> {
         let until = self.notices.rests.get(service)?.get(upstream).filter(|until| **until > now)?;
         Some(until.since(now))
     }
@@ -97,13 +97,13 @@
     /// The time until the first upstream of a service takes work from this router again, if all usable ones in the
     /// given zones rest. A request that only they could serve is best refused at once, with this time.
     #[must_use]
-    pub fn all_rest(&self, now: Moment, service: &id::Service, zones: Option<&[id::Zone]>) -> Option<Duration> {
+    pub fn time_until_usable(&self, now: Moment, service: &id::Service, zones: Option<&[id::Zone]>) -> Option<Duration> {
         self.notices.resting(now, service).next()?;
         let members = self.pools.get(service)?.members();
         let allowed = members.filter(|member| zones.is_none_or(|zones| zones.contains(&member.zone)));
         let mut first = None;
-        for member in allowed.filter(|member| self.place(&member.id).is_some()) {
-            let left = self.rest(now, service, &member.id)?;
+        for member in allowed.filter(|member| self.usable_upstream(&member.id).is_some()) {
+            let left = self.remaining_rest(now, service, &member.id)?;
             first = Some(first.map_or(left, |first: Duration| first.min(left)));
         }
         first
--- a/crates/stairvale-serve/src/core/rollouts.rs
+++ b/crates/stairvale-serve/src/core/rollouts.rs
@@ -201,7 +201,7 @@
     fn apply_step(&mut self, now: Moment, service: &id::Service, step: Step) -> Vec<Effect> {
         match step {
             Step::Write(write) => self.write(now, write),
-            Step::Log(event) => vec![Effect::Say(Box::new(event))],
+            Step::Log(event) => vec![Effect::ReportEvent(Box::new(event))],
             Step::Reserve(reservation) => {
                 if let Some(pool) = self.pools.get_mut(service) {
                     pool.reserve(reservation);
--- a/crates/stairvale-serve/src/exchange/send.rs
+++ b/crates/stairvale-serve/src/exchange/send.rs
@@ -15,7 +15,7 @@
     Dialect,
     dialect::{Mark, Order},
     hop::strip,
-    permit::{self, Permit, Want},
+    permit::{self, Permit, PermitRequest},
     problem::Problem,
     traffic::{self, Kind},
     upstream::{Connection, Fault},
@@ -80,7 +80,7 @@
         let table = self.shared.table.load();
         let key = self.head.key.as_deref();
         let valid = key.and_then(|key| table.customer(key)).is_some_and(|known| &known.name == customer);
-        let (current, trusted) = self.shared.look(|core, now| (core.is_current(now), core.trusts_keys(now)));
+        let (current, trusted) = self.shared.query(|core, now| (core.is_current(now), core.trusts_keys(now)));
         if valid && trusted {
             return Ok(());
         }
@@ -92,7 +92,7 @@
 
     /// Checks that the fleet has not quarantined the request's fingerprint because upstreams crash when they run it.
     fn check_quarantine(&self) -> Result<(), Problem> {
-        let Some(left) = self.shared.look(|core, now| core.quarantined(now, self.fingerprint)) else {
+        let Some(left) = self.shared.query(|core, now| core.quarantined(now, self.fingerprint)) else {
             return Ok(());
         };
         let refused = Problem::Refused(Refusal::new(Reason::Quarantined, left));
@@ -118,9 +118,9 @@
             patience,
             avoid: self.attempts.avoid.clone(),
             within: self.allowed_zones.clone(),
-            seen: self.shared.look(|core, _| core.seen(&self.head.parts)),
+            seen: self.shared.query(|core, _| core.last_upstream_of_prefix(&self.head.parts)),
         };
-        let want = Want { service: &self.service, ask, objective: self.route.objective };
+        let want = PermitRequest { service: &self.service, ask, objective: self.route.objective };
         let requested_at = self.shared.now();
         let permit = permit::get(&self.shared, want).await;
         self.shared.metrics.record_placement(self.shared.now().since(requested_at));
@@ -131,7 +131,7 @@
     /// Sends the request to the permit's upstream and reads the response head.
     async fn send(&mut self, permit: Permit, last_event: Option<&str>) -> Result<UpstreamResponse, AttemptError> {
         let request = self.request(&permit, last_event);
-        self.shared.passed(Kind::Request, &permit, traffic::request_head(&request) + self.body.len());
+        self.shared.count_traffic(Kind::Request, &permit, traffic::request_head(&request) + self.body.len());
         let (id, address) = (permit.upstream.id.clone(), permit.upstream.address);
         let sending = self.shared.upstreams.send(&id, address, request);
         let (response, connection) = match self.await_upstream(&permit, sending).await {
@@ -146,11 +146,11 @@
             }
         };
         let (head, body) = response.into_parts();
-        self.shared.passed(Kind::Answer, &permit, traffic::answer_head(&head.headers));
+        self.shared.count_traffic(Kind::Answer, &permit, traffic::answer_head(&head.headers));
         let mark = self.dialect.judge(&self.head.id, &head);
         // A response from another upstream, or from an unidentified peer, says nothing about this upstream.
         if !matches!(mark, Mark::Gone | Mark::Foreign) {
-            self.shared.hear(&self.service, &id, self.dialect.notice(&head));
+            self.shared.handle_notice(&self.service, &id, self.dialect.notice(&head));
         }
         match mark {
             Mark::Answer | Mark::Unfit => {
@@ -227,7 +227,7 @@
             result = self.shared.clock.before(self.attempt_deadline(), work) => {
                 result.unwrap_or(Err(Fault::Unresponsive))
             }
-            () = permit.life_over() => Err(Fault::Terminated),
+            () = permit.upstream_replaced() => Err(Fault::Terminated),
         }
     }
 
@@ -268,7 +268,7 @@
     /// Counts an upstream's rejection, and returns an error if no other upstream is to be tried.
     fn count_rejection(&mut self) -> Result<(), Problem> {
         self.attempts.rejections += 1;
-        let budgeted = self.shared.change(|core, now| core.spend(now, &self.service));
+        let budgeted = self.shared.modify(|core, now| core.take_retry(now, &self.service));
         if self.attempts.rejections <= MAX_REJECTIONS && budgeted {
             return Ok(());
         }
--- a/crates/stairvale-serve/src/inspect.rs
+++ b/crates/stairvale-serve/src/inspect.rs
@@ -47,7 +47,7 @@
     let parts = result.ok().flatten();
     tracing::info!(%upstream, parts = parts.as_ref().map(Vec::len), "asked an engine what it holds");
     if let Some(parts) = parts {
-        shared.with(|core, _| core.inspected(&service, &upstream, parts));
+        shared.with(|core, _| core.record_inventory(&service, &upstream, parts));
     }
 }
 
@@ -59,7 +59,7 @@
     address: SocketAddr,
 ) -> Option<Vec<Part>> {
     let path = dialect.inventory_path()?;
-    if shared.look(|core, now| core.rest(now, service, upstream)).is_some() {
+    if shared.query(|core, now| core.remaining_rest(now, service, upstream)).is_some() {
         return None;
     }
     let request = Request::get(path).header(http::header::HOST, address.to_string());
@@ -67,9 +67,9 @@
     let request_bytes = traffic::request_head(&request);
     let (response, connection) = shared.upstreams.send(upstream, address, request).await.ok()?;
     let (head, body) = response.into_parts();
-    shared.hear(service, upstream, dialect.notice(&head));
+    shared.handle_notice(service, upstream, dialect.notice(&head));
     let body = Limited::new(body, MAX_INVENTORY_BYTES).collect().await.ok()?.to_bytes();
-    let zone = shared.look(|core, _| core.view().upstream(upstream).map(|known| known.zone.clone()));
+    let zone = shared.query(|core, _| core.view().upstream(upstream).map(|known| known.zone.clone()));
     let bytes = request_bytes + traffic::answer_head(&head.headers) + body.len();
     shared.metrics.traffic.count(Kind::Inventory, zone.as_ref(), bytes);
     if !head.status.is_success() {
--- a/crates/stairvale-serve/src/metrics.rs
+++ b/crates/stairvale-serve/src/metrics.rs
@@ -18,7 +18,7 @@
 use stairvale_dispatch::shares::Counts;
 use stairvale_types::id;
 
-use crate::{core::Named, traffic::Traffic};
+use crate::{core::CustomerCounts, traffic::Traffic};
 
 /// The label of the event counter.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
@@ -59,7 +59,7 @@
 
 /// Counts of customers' requests by service, in the Prometheus text format. Requests without a customer have an empty
 /// name.
-pub fn customers<'a>(services: impl Iterator<Item = (&'a id::Service, Named, Counts)>) -> String {
+pub fn customers<'a>(services: impl Iterator<Item = (&'a id::Service, CustomerCounts, Counts)>) -> String {
     let mut text = String::new();
     let mut write = |name: &str, labels: &str, counts: Counts| {
         for (outcome, count) in [("served", counts.served), ("waited", counts.waited), ("refused", counts.refused)] {
--- a/crates/stairvale-serve/src/permit.rs
+++ b/crates/stairvale-serve/src/permit.rs
@@ -62,7 +62,7 @@
     }
 
     /// Waits until the upstream was replaced by another incarnation under the same name.
-    pub async fn life_over(&self) {
+    pub async fn upstream_replaced(&self) {
         self.replaced.notified().await;
     }
 
@@ -82,7 +82,7 @@
 
 /// A request for a permit.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct PermitRequest<'a> {
     /// The service whose upstreams may serve the request.
     pub service: &'a id::Service,
     /// The ask to send, except for the attempt, which is new for each home.
@@ -102,7 +102,7 @@
 
 impl Drop for PendingAsk<'_> {
     fn drop(&mut self) {
-        self.shared.expect_no_more(self.attempt);
+        self.shared.close_replies(self.attempt);
         if self.open {
             self.shared.with(|core, now| core.forget(now, self.service, self.attempt, &self.home));
         }
@@ -122,13 +122,13 @@
 ///
 /// # Errors
 /// A [`Refusal`] if no permit can be granted now.
-pub async fn get(shared: &Arc<Shared>, mut want: Want<'_>) -> Result<Permit, Refusal> {
+pub async fn get(shared: &Arc<Shared>, mut want: PermitRequest<'_>) -> Result<Permit, Refusal> {
     let answer_timeout = (want.objective / ANSWER_TIMEOUT_DIVISOR).clamp(MIN_ANSWER_TIMEOUT, MAX_ANSWER_TIMEOUT);
     let (mut unresponsive, mut unusable) = (0, 0);
     while unresponsive <= MAX_HOMES && unusable < MAX_UNUSABLE_GRANTS {
-        let (all_rest, resting) = shared.look(|core, now| {
+        let (all_rest, resting) = shared.query(|core, now| {
             let zones = want.ask.within.as_deref();
-            (core.all_rest(now, want.service, zones), core.resting(now, want.service))
+            (core.time_until_usable(now, want.service, zones), core.resting(now, want.service))
         });
         if let Some(remaining) = all_rest {
             return Err(Refusal::new(Reason::Busy, remaining));
@@ -137,12 +137,12 @@
         let mut ask = Ask { attempt, ..want.ask.clone() };
         ask.avoid.extend(resting);
         let wait = ask.patience.max(ask.max_prefill_wait());
-        let mut replies = shared.expect(attempt);
+        let mut replies = shared.open_replies(attempt);
         let me = shared.settings.router.clone();
         let mut home = me.clone();
         shared.with(|core, now| {
             if unresponsive == MAX_HOMES {
-                return core.ask_self(now, want.service, ask);
+                return core.decide_locally(now, want.service, ask);
             }
             let (current_home, effects) = core.ask(now, want.service, ask);
             home = current_home;
@@ -163,9 +163,9 @@
         };
         match verdict {
             Some(Verdict::Granted { upstream, read, source }) => {
-                let entry = shared.look(|core, now| {
-                    let rests = core.rest(now, want.service, &upstream).is_some();
-                    core.place(&upstream).filter(|_| !rests)
+                let entry = shared.query(|core, now| {
+                    let rests = core.remaining_rest(now, want.service, &upstream).is_some();
+                    core.usable_upstream(&upstream).filter(|_| !rests)
                 });
                 let Some(entry) = entry else {
                     // By notices that this router received in the meantime, the upstream began to leave or to rest.
@@ -178,9 +178,9 @@
                 pending.open = false;
                 let (customer, route, fingerprint) = (want.ask.customer.clone(), want.ask.route, want.ask.fingerprint);
                 let held = Held { attempt, upstream, read, customer, route, fingerprint };
-                let (since, source) = shared.change(|core, now| {
+                let (since, source) = shared.modify(|core, now| {
                     core.start(want.service, held, &pending.home, &want.ask.parts);
-                    let rests = |source: &id::Upstream| core.rest(now, want.service, source).is_some();
+                    let rests = |source: &id::Upstream| core.remaining_rest(now, want.service, source).is_some();
                     (now, source.filter(|source| !rests(source)).and_then(|source| core.address(&source)))
                 });
                 let replaced = shared.register_running(attempt);
@@ -203,7 +203,7 @@
             }
             None => {
                 unresponsive += 1;
-                shared.change(|core, now| core.distrust(now, &pending.home));
+                shared.modify(|core, now| core.distrust(now, &pending.home));
             }
         }
     }
--- a/crates/stairvale-serve/src/ready.rs
+++ b/crates/stairvale-serve/src/ready.rs
@@ -39,10 +39,10 @@
     if request.uri().path() == METRICS_PATH {
         // The other metrics end with the line that terminates the document, so these come first.
         let more =
-            shared.look(|core, _| metrics::customers(core.customers(MAX_CUSTOMERS)) + &rollouts::metrics(core.view()));
+            shared.query(|core, _| metrics::customers(core.customers(MAX_CUSTOMERS)) + &rollouts::metrics(core.view()));
         return Response::new(Body::whole(more + &shared.metrics.text()));
     }
-    let ready = !shared.is_stopping() && shared.look(Core::is_ready);
+    let ready = !shared.is_stopping() && shared.query(Core::is_ready);
     let status = match (request.uri().path() == path, ready) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
--- a/crates/stairvale-serve/src/relay.rs
+++ b/crates/stairvale-serve/src/relay.rs
@@ -175,7 +175,7 @@
             let chunk = tokio::select! {
                 chunk = clock.before(clock.now() + left.min(stall), next(&mut reply.body)) => chunk,
                 () = self.sender.closed() => return End::Left,
-                () = reply.permit.life_over() => return End::Ended,
+                () = reply.permit.upstream_replaced() => return End::Ended,
             };
             let Ok(chunk) = chunk else {
                 return if stall < left { End::Silent } else { End::Late };
@@ -186,7 +186,7 @@
             }
             match chunk {
                 Ok(Some(chunk)) => {
-                    self.exchange.shared.passed(Kind::Answer, &reply.permit, chunk.len());
+                    self.exchange.shared.count_traffic(Kind::Answer, &reply.permit, chunk.len());
                     if !self.forward(chunk).await {
                         return End::Left;
                     }
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -177,7 +177,7 @@
     }
 
     /// Reads from the core.
-    pub fn look<T>(&self, read: impl FnOnce(&Core, Moment) -> T) -> T {
+    pub fn query<T>(&self, read: impl FnOnce(&Core, Moment) -> T) -> T {
         let now = self.now();
         read(&self.core(), now)
     }
@@ -190,20 +190,20 @@
     }
 
     /// Changes the core where no effects result.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Core, Moment) -> T) -> T {
+    pub fn modify<T>(&self, change: impl FnOnce(&mut Core, Moment) -> T) -> T {
         let now = self.now();
         change(&mut self.core(), now)
     }
 
     /// Opens a channel for a home's replies to a request.
-    pub fn expect(&self, attempt: id::Attempt) -> mpsc::UnboundedReceiver<Reply> {
+    pub fn open_replies(&self, attempt: id::Attempt) -> mpsc::UnboundedReceiver<Reply> {
         let (replies, receiver) = mpsc::unbounded_channel();
         self.waiting().insert(attempt, Waiter { replies, home: None });
         receiver
     }
 
     /// Closes the channel for a home's replies to a request.
-    pub fn expect_no_more(&self, attempt: id::Attempt) {
+    pub fn close_replies(&self, attempt: id::Attempt) {
         self.waiting().remove(&attempt);
     }
 
@@ -246,11 +246,11 @@
                     // The receiver is dropped only when the process ends.
                     let _ = self.inspections.send(Inspection { service, upstream, address });
                 }
-                Effect::Begun(upstream) => {
+                Effect::UpstreamReplaced(upstream) => {
                     self.metrics.count("upstream-reborn");
                     tracing::info!(%upstream, "an upstream came back under its name; nothing is believed of its earlier life");
                 }
-                Effect::Over(attempt) => {
+                Effect::EndRequest(attempt) => {
                     if let Some(replaced) = self.running().get(&attempt) {
                         replaced.notify_one();
                     }
@@ -274,7 +274,7 @@
                 Effect::Stage { service, policy, record } => {
                     rollouts::log(&service, &policy, record.as_deref());
                 }
-                Effect::Say(event) => rollouts::say(&self.table.load(), &event),
+                Effect::ReportEvent(event) => rollouts::say(&self.table.load(), &event),
                 Effect::Surplus { service, surplus } => {
                     let customer = surplus.customer.as_ref().map_or("", id::Customer::as_str);
                     let (running, share) = (surplus.running, surplus.share);
@@ -345,20 +345,20 @@
     }
 
     /// Handles the notice in an upstream's answer.
-    pub fn hear(&self, service: &id::Service, upstream: &id::Upstream, notice: Notice) {
+    pub fn handle_notice(&self, service: &id::Service, upstream: &id::Upstream, notice: Notice) {
         if notice != Notice::default() {
-            self.with(|core, now| core.hear(now, service, upstream, notice));
+            self.with(|core, now| core.handle_notice(now, service, upstream, notice));
         }
     }
 
     /// Counts bytes that passed between this router and an upstream.
-    pub fn passed(&self, kind: Kind, permit: &Permit, bytes: usize) {
+    pub fn count_traffic(&self, kind: Kind, permit: &Permit, bytes: usize) {
         self.metrics.traffic.count(kind, Some(&permit.upstream.zone), bytes);
     }
 
     /// Counts bytes that are sent to a peer.
     fn count_to(&self, kind: Kind, to: SocketAddr, bytes: usize) {
-        self.metrics.traffic.count_to(kind, to, bytes, || self.look(|core, _| core.zone_at(to)));
+        self.metrics.traffic.count_to(kind, to, bytes, || self.query(|core, _| core.zone_at(to)));
     }
 
     /// Fails the asks that a peer hasn't answered after the stream to it broke, so that they are sent to other homes.
--- a/crates/stairvale-serve/src/watch.rs
+++ b/crates/stairvale-serve/src/watch.rs
@@ -44,17 +44,17 @@
     let mut interrupted = false;
     loop {
         let (reading, revision, epoch, requested_at) =
-            shared.look(|core, now| (core.reading(now), core.view().revision(), core.view().epoch(), now));
+            shared.query(|core, now| (core.reading(now), core.view().revision(), core.view().epoch(), now));
         let news = match reading {
             None => {
-                let confirmed = shared.look(|core, _| core.view().is_confirmed());
+                let confirmed = shared.query(|core, _| core.view().is_confirmed());
                 tokio::time::sleep(if confirmed { IDLE_POLL_INTERVAL } else { UNCONFIRMED_POLL_INTERVAL }).await;
                 continue;
             }
             Some(_) if compacted => source.everything(Consistency::Linearizable).await,
             Some(Reading::Names) => match source.names().await {
                 Ok(names) => {
-                    shared.with(|core, now| core.read_names(now, names));
+                    shared.with(|core, now| core.read_registrations(now, names));
                     continue;
                 }
                 Err(fault) => Err(fault),
@@ -75,7 +75,7 @@
                 shared.with(
                     |core, now| if stale { core.read_stale(now, news) } else { core.read(now, requested_at, news) },
                 );
-                let (read_revision, read_epoch) = shared.look(|core, _| (core.view().revision(), core.view().epoch()));
+                let (read_revision, read_epoch) = shared.query(|core, _| (core.view().revision(), core.view().epoch()));
                 if epoch > 0 && read_epoch > epoch {
                     shared.metrics.count("store-restored");
                 }
@@ -99,9 +99,9 @@
                 if delay == INITIAL_BACKOFF {
                     tracing::info!(%fault, "the store fails");
                 }
-                shared.change(Core::disturbed);
+                shared.modify(Core::record_store_failure);
                 tokio::time::sleep(delay).await;
-                let is_watcher = shared.look(|core, _| core.is_watcher());
+                let is_watcher = shared.query(|core, _| core.is_watcher());
                 delay = if is_watcher {
                     (delay * 2).min(MAX_WATCHER_BACKOFF)
                 } else {
@@ -120,7 +120,7 @@
     loop {
         tokio::time::sleep(delay).await;
         let (is_reader, due, all, settle_time) =
-            shared.look(|core, now| (core.is_reader(now), core.naming(now), core.names(), core.naming_settles()));
+            shared.query(|core, now| (core.is_reader(now), core.registration_changes(now), core.current_registrations(), core.registration_delay()));
         if !is_reader {
             (registrar.reader_since, registrar.due_since, delay) = (None, None, REGISTRATION_POLL_INTERVAL);
             continue;
--- a/crates/stairvale-serve/tests/heirs.rs
+++ b/crates/stairvale-serve/tests/heirs.rs
@@ -91,7 +91,7 @@
         let service = "chat".parse().unwrap();
         // The engines answer that their prefix caches are empty.
         for upstream in std::mem::take(&mut world.nodes[home].inspected) {
-            let effects = world.nodes[home].core.inspected(&service, &upstream, Vec::new());
+            let effects = world.nodes[home].core.record_inventory(&service, &upstream, Vec::new());
             world.perform(home, effects);
         }
         for (number, prompt) in (1..).zip(prompts()) {
--- a/crates/stairvale-serve/tests/lives.rs
+++ b/crates/stairvale-serve/tests/lives.rs
@@ -73,9 +73,9 @@
         world.run(1_000);
         assert_eq!(world.nodes[home].core.running_at_home(&chat()), 0, "{late}");
         let later: id::Upstream = "e0@2000".parse().unwrap();
-        assert!((0..6).all(|router| world.nodes[router].core.place(&later).is_some()), "{late}");
+        assert!((0..6).all(|router| world.nodes[router].core.usable_upstream(&later).is_some()), "{late}");
         let earlier: id::Upstream = "e0@1000".parse().unwrap();
-        assert!((0..6).all(|router| world.nodes[router].core.place(&earlier).is_none()), "{late}");
+        assert!((0..6).all(|router| world.nodes[router].core.usable_upstream(&earlier).is_none()), "{late}");
     }
 }
 
@@ -135,9 +135,9 @@
         for _ in 0..100 {
             world.run(50);
             let others = (0..6).filter(|router| *router != isolated);
-            assert!(others.clone().all(|router| world.nodes[router].core.place(&earlier).is_none()));
-            assert!(others.clone().all(|router| world.nodes[router].core.place(&later).is_some()));
+            assert!(others.clone().all(|router| world.nodes[router].core.usable_upstream(&earlier).is_none()));
+            assert!(others.clone().all(|router| world.nodes[router].core.usable_upstream(&later).is_some()));
         }
-        assert!(world.nodes[isolated].core.place(&later).is_some());
+        assert!(world.nodes[isolated].core.usable_upstream(&later).is_some());
     }
 }
--- a/crates/stairvale-serve/tests/notices.rs
+++ b/crates/stairvale-serve/tests/notices.rs
@@ -38,7 +38,7 @@
 /// Hands the notice of an engine's answer to router `index`.
 fn receive_notice(world: &mut World, index: usize, engine: &str, notice: Notice) {
     let now = world.local_time(index);
-    let effects = world.nodes[index].core.hear(now, &chat(), &engine.parse().unwrap(), notice);
+    let effects = world.nodes[index].core.handle_notice(now, &chat(), &engine.parse().unwrap(), notice);
     world.perform(index, effects);
 }
 
@@ -127,7 +127,7 @@
     world.run(SPREAD_MS);
     let usable = |world: &World, incarnation: &str| {
         let incarnation = incarnation.parse().unwrap();
-        (0..ROUTERS).filter(|router| world.nodes[*router].core.place(&incarnation).is_some()).count()
+        (0..ROUTERS).filter(|router| world.nodes[*router].core.usable_upstream(&incarnation).is_some()).count()
     };
     assert_eq!(usable(&world, "e0@1000"), 0);
     world.start_engine(0, 0, 2_000);
@@ -175,7 +175,7 @@
         receive_notice(&mut world, 0, &format!("x{engine}"), LEAVES);
         receive_notice(&mut world, 0, "e0", LEAVES);
     }
-    assert!(world.nodes[0].core.remembered_notices() <= 5_000);
+    assert!(world.nodes[0].core.notice_count() <= 5_000);
     assert!(!world.is_usable(0, 0), "the notice of a registered engine is kept");
 }
 
@@ -189,7 +189,7 @@
 /// How much longer router `index` has to send an engine nothing, in ms.
 fn remaining_rest_ms(world: &World, index: usize, engine: &str) -> u128 {
     let core = &world.nodes[index].core;
-    core.rest(world.local_time(index), &chat(), &engine.parse().unwrap()).map_or(0, |left| left.as_millis())
+    core.remaining_rest(world.local_time(index), &chat(), &engine.parse().unwrap()).map_or(0, |left| left.as_millis())
 }
 
 #[test]
@@ -242,7 +242,7 @@
 fn the_end_of_the_shortest_rest_is_given_if_all_engines_rest() {
     let mut world = fleet();
     let all_rest = |world: &World, zones: Option<&[id::Zone]>| {
-        let left = world.nodes[2].core.all_rest(world.local_time(2), &chat(), zones);
+        let left = world.nodes[2].core.time_until_usable(world.local_time(2), &chat(), zones);
         left.map(|left| left.as_millis())
     };
     let zone = [world.nodes[2].core.view().upstream(&"e0".parse().unwrap()).unwrap().zone.clone()];
@@ -263,9 +263,9 @@
     for engine in 0..10_000 {
         receive_notice(&mut world, 2, &format!("x{engine}"), rests(1.0));
     }
-    assert_eq!(world.nodes[2].core.remembered_notices(), 10_000);
+    assert_eq!(world.nodes[2].core.notice_count(), 10_000);
     world.run(2_000);
-    assert_eq!(world.nodes[2].core.remembered_notices(), 0);
+    assert_eq!(world.nodes[2].core.notice_count(), 0);
 }
 
 #[test]
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -358,7 +358,7 @@
 
     /// Writes the registrations that the fleet's reader wants, once it has wanted the same ones for its settling time.
     fn write_registrations(&mut self, index: usize) {
-        let naming = self.nodes[index].core.naming(self.local_time(index));
+        let naming = self.nodes[index].core.registration_changes(self.local_time(index));
         if naming.is_empty() || self.cut_from_store.contains(&index) {
             self.pending_registrations.remove(&index);
             return;
@@ -367,7 +367,7 @@
             self.pending_registrations.entry(index).or_insert_with(|| (naming.clone(), self.now)).clone();
         if pending != naming {
             self.pending_registrations.insert(index, (naming, since));
-        } else if Duration::from_millis(self.now - since) >= self.nodes[index].core.naming_settles() {
+        } else if Duration::from_millis(self.now - since) >= self.nodes[index].core.registration_delay() {
             self.pending_registrations.remove(&index);
             self.registration_writes += 1;
             for router in naming.put {
@@ -461,7 +461,7 @@
             if now >= call.wait_until + CALL_TIMEOUT_MS {
                 node.call = None;
                 node.next_poll_at = now + RETRY_DELAY_MS;
-                node.core.disturbed(node.local_time(now));
+                node.core.record_store_failure(node.local_time(now));
             }
             return;
         }
@@ -471,7 +471,7 @@
             let (StoreUpdate::Changes { items, .. } | StoreUpdate::Everything { items, .. }) = self.stale_snapshot(index);
             let names = items.into_iter().filter(|item| matches!(item.subject, Subject::Router(_))).collect();
             let now = self.local_time(index);
-            let effects = self.nodes[index].core.read_names(now, names);
+            let effects = self.nodes[index].core.read_registrations(now, names);
             return self.perform(index, effects);
         }
         if call.reading == Reading::Stale {
@@ -699,12 +699,12 @@
                     }
                 }
                 Effect::Surplus { surplus, .. } => self.surpluses.push(surplus.is_above),
-                Effect::Over(attempt) => self.terminated.push((index, attempt)),
+                Effect::EndRequest(attempt) => self.terminated.push((index, attempt)),
                 Effect::Configured(_)
-                | Effect::Begun(_)
+                | Effect::UpstreamReplaced(_)
                 | Effect::Evacuated { .. }
                 | Effect::Stage { .. }
-                | Effect::Say(_)
+                | Effect::ReportEvent(_)
                 | Effect::Lost(_) => {}
                 Effect::Write(write) => self.write(index, None, write),
                 Effect::WriteFor { peer, number, write } => self.write(index, Some((peer, number)), write),
@@ -775,7 +775,7 @@
     pub fn decide_locally(&mut self, index: usize, number: u128, parts: &[(u64, u32)]) {
         let (service, ask) = permit_request(index, number, parts);
         let now = self.local_time(index);
-        let effects = self.nodes[index].core.ask_self(now, &service, ask);
+        let effects = self.nodes[index].core.decide_locally(now, &service, ask);
         self.perform(index, effects);
     }
 
@@ -841,7 +841,7 @@
 
     /// Whether a router may send new requests to an engine.
     pub fn is_usable(&self, index: usize, engine: usize) -> bool {
-        self.nodes[index].core.place(&format!("e{engine}").parse().unwrap()).is_some()
+        self.nodes[index].core.usable_upstream(&format!("e{engine}").parse().unwrap()).is_some()
     }
 
     /// The version of the configuration that is in force at a router.
@@ -907,7 +907,7 @@
         if let Some((number, home, since)) = &self.pending {
             let placed = world.granted(self.index, *number);
             if let Some(engine) = placed {
-                return world.nodes[self.index].core.place(&engine).is_some();
+                return world.nodes[self.index].core.usable_upstream(&engine).is_some();
             }
             let refused = matches!(world.nodes[self.index].replies.get(&id::Attempt(*number)), Some(Reply::Decided(_)));
             if !refused && world.now - since < HOME_TIMEOUT_MS {
--- a/crates/stairvale-serve/tests/world/traffic.rs
+++ b/crates/stairvale-serve/tests/world/traffic.rs
@@ -113,7 +113,7 @@
                 return waits.then_some(request);
             };
             // The entry checks again right before it sends that the engine may still get requests.
-            if self.nodes[index].core.place(&upstream).is_none() {
+            if self.nodes[index].core.usable_upstream(&upstream).is_none() {
                 let effects = self.nodes[index].core.forget(now, &"chat".parse().unwrap(), attempt, &request.home);
                 self.perform(index, effects);
                 return None;
