--- a/crates/stairvale-serve/src/body.rs
+++ b/crates/stairvale-serve/src/body.rs
@@ -31,7 +31,7 @@
 impl Body {
     /// Creates a complete body.
     #[must_use]
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
         Self::Complete(Some(bytes.into()))
     }
 }
--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -72,8 +72,8 @@
         if self.is_reader(now) {
             // A router that takes over with an old or unconfirmed copy first brings it up to date and only then waits
             // for changes: other routers would otherwise exclude it for the copy's age.
-            let outdated = !self.view.is_confirmed() || self.is_older(now, self.bounds.watch() * 2);
-            return Some(Reading::Changes(if outdated { Duration::ZERO } else { self.bounds.watch() }));
+            let outdated = !self.view.is_confirmed() || self.is_older(now, self.bounds.watch_timeout() * 2);
+            return Some(Reading::Changes(if outdated { Duration::ZERO } else { self.bounds.watch_timeout() }));
         }
         self.is_older(now, self.max_age(now)).then_some(Reading::Changes(Duration::ZERO))
     }
@@ -119,7 +119,7 @@
             // it become. The fleet's reader, which it syncs with now, has a newer one.
             let is_new = self.watcher_since.is_some_and(|since| now.since(since) < NEW_WATCHER_GRACE);
             let watcher = watcher && !is_new;
-            return if watcher { self.bounds.late() } else { self.bounds.stale() };
+            return if watcher { self.bounds.watcher_max_age() } else { self.bounds.max_age() };
         }
         let join_delay = if self.view.routers().next().is_some() { Duration::ZERO } else { naming::JOIN_TIMEOUT };
         join_delay + if watcher { WATCHER_READ_DELAY } else { FIRST_READ_DELAY.mul_f64(1.0 + self.jitter()) }
@@ -148,7 +148,7 @@
         let mut to = Vec::new();
         to.extend(self.snapshot_source().filter(|_| is_empty));
         to.extend(self.update_source().filter(|source| source != &self.me));
-        let outdated_age = self.bounds.stale() * 3 / 4;
+        let outdated_age = self.bounds.max_age() * 3 / 4;
         if self.view.age(now).is_none_or(|age| age > outdated_age) {
             to.extend(self.any_peer());
         }
--- a/crates/stairvale-serve/src/core/knowledge.rs
+++ b/crates/stairvale-serve/src/core/knowledge.rs
@@ -100,7 +100,7 @@
                 // A service with a cold time of zero needs no protection of cold upstreams.
                 cold: service.cold.filter(|cold| !cold.time.is_zero()).map(|cold| ColdLimits {
                     pace: cold.pace,
-                    bound: self.bounds.cold(cold.pace),
+                    bound: self.bounds.cold_burst(cold.pace),
                     time: cold.time,
                 }),
             };
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -226,7 +226,7 @@
     #[must_use]
     pub fn trusts_keys(&self, now: Moment) -> bool {
         let age = self.view.age(now);
-        self.bounds.trust().is_none_or(|limit| age.is_some_and(|age| age < limit))
+        self.bounds.key_trust_limit().is_none_or(|limit| age.is_some_and(|age| age < limit))
     }
 
     /// Whether the configuration is recent enough to conclude that something missing from it doesn't exist.
@@ -243,7 +243,7 @@
         let has_data = self.view.document().is_some() && self.view.upstreams().next().is_some();
         // The balancer takes a while to react, so readiness ends at half the trust limit: callers are then elsewhere
         // before their keys are no longer accepted here.
-        let limit = self.bounds.trust().map(|limit| limit / 2);
+        let limit = self.bounds.key_trust_limit().map(|limit| limit / 2);
         let is_fresh = limit.is_none_or(|limit| self.view.age(now).is_some_and(|age| age < limit));
         has_data && !self.leaving && is_fresh
     }
@@ -440,7 +440,7 @@
             self.end_rests(now);
         }
         if now >= self.next_sync {
-            let interval = self.bounds.stale() / SYNCS_PER_STALE_LIMIT;
+            let interval = self.bounds.max_age() / SYNCS_PER_STALE_LIMIT;
             self.next_sync =
                 now + if self.view.is_confirmed() { interval } else { interval.min(UNCONFIRMED_SYNC_INTERVAL) };
             effects.extend(self.sync(now));
--- a/crates/stairvale-serve/src/core/naming.rs
+++ b/crates/stairvale-serve/src/core/naming.rs
@@ -13,7 +13,7 @@
 use stairvale_wire::{Member, Status};
 
 use super::Core;
-use crate::source::Naming;
+use crate::source::Registrations;
 
 /// Number of live routers that are registered in each zone: if two are lost at once, one is left to be found.
 const MIN_REGISTERED_PER_ZONE: usize = 3;
@@ -63,9 +63,9 @@
 
     /// The changes of the registrations that this router has to write as the fleet's reader.
     #[must_use]
-    pub fn registration_changes(&self, now: Moment) -> Naming {
-        let mut naming = Naming::default();
-        if self.leaving || !self.is_reader(now) || self.is_older(now, self.bounds.stale()) {
+    pub fn registration_changes(&self, now: Moment) -> Registrations {
+        let mut naming = Registrations::default();
+        if self.leaving || !self.is_reader(now) || self.is_older(now, self.bounds.max_age()) {
             return naming;
         }
         let mut live: BTreeMap<&id::Zone, Vec<&Member>> = BTreeMap::new();
@@ -108,7 +108,7 @@
 
     /// All registrations that still hold, to be written again under a lease of this router.
     #[must_use]
-    pub fn current_registrations(&self) -> Naming {
+    pub fn current_registrations(&self) -> Registrations {
         let put = self
             .view
             .routers()
@@ -116,10 +116,10 @@
             .take(MAX_CHANGES_PER_WRITE)
             .cloned()
             .collect();
-        Naming { put, remove: Vec::new() }
+        Registrations { put, remove: Vec::new() }
     }
 
-    fn update_zone_registrations(&self, live: &[&Member], registered: &[&Router], naming: &mut Naming) {
+    fn update_zone_registrations(&self, live: &[&Member], registered: &[&Router], naming: &mut Registrations) {
         let (alive, dead): (Vec<_>, Vec<_>) = registered.iter().copied().partition(|router| self.is_alive(&router.id));
         for router in &alive {
             let member = live.iter().find(|member| member.router == router.id);
--- a/crates/stairvale-serve/src/dialect.rs
+++ b/crates/stairvale-serve/src/dialect.rs
@@ -68,7 +68,7 @@
 
 /// The meaning of an upstream's response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Mark {
+pub enum ResponseKind {
     /// The response to this request.
     Answer,
     /// The request was not run: the upstream is full or leaving.
@@ -100,13 +100,13 @@
     /// Adds what an upstream is to be sent to the client's headers.
     fn write(&self, headers: &mut HeaderMap, order: Order<'_>);
     /// Classifies an upstream's response.
-    fn judge(&self, id: &str, response: &response::Parts) -> Mark;
+    fn classify(&self, id: &str, response: &response::Parts) -> ResponseKind;
     /// Reads what an upstream announces about itself in any response.
     fn notice(&self, response: &response::Parts) -> Notice;
     /// Sets the request id in a response that this router generates.
     fn name(&self, headers: &mut HeaderMap, id: &str);
     /// The value of a `Retry-After` header.
-    fn come_back(&self, after: Duration) -> HeaderValue;
+    fn retry_after(&self, after: Duration) -> HeaderValue;
     /// The path at which an engine reports the prompt blocks in its cache, if engines do so.
     fn inventory_path(&self) -> Option<&'static str>;
     /// Parses an engine's report of the prompt blocks in its cache.
--- a/crates/stairvale-serve/src/exchange.rs
+++ b/crates/stairvale-serve/src/exchange.rs
@@ -234,7 +234,7 @@
         }
         strip(&mut head.headers);
         head.headers.remove(header::CONTENT_LENGTH);
-        Ok(Response::from_parts(head, Body::whole(body)))
+        Ok(Response::from_parts(head, Body::complete(body)))
     }
 
     // ------------------------------------------------------------------------
--- a/crates/stairvale-serve/src/exchange/send.rs
+++ b/crates/stairvale-serve/src/exchange/send.rs
@@ -13,7 +13,7 @@
 use super::{Exchange, UpstreamResponse, millis};
 use crate::{
     Dialect,
-    dialect::{Mark, Order},
+    dialect::{ResponseKind, Order},
     hop::strip,
     permit::{self, Permit, PermitRequest},
     problem::Problem,
@@ -147,26 +147,26 @@
         };
         let (head, body) = response.into_parts();
         self.shared.count_traffic(Kind::Answer, &permit, traffic::answer_head(&head.headers));
-        let mark = self.dialect.judge(&self.head.id, &head);
+        let mark = self.dialect.classify(&self.head.id, &head);
         // A response from another upstream, or from an unidentified peer, says nothing about this upstream.
-        if !matches!(mark, Mark::Gone | Mark::Foreign) {
+        if !matches!(mark, ResponseKind::Gone | ResponseKind::Foreign) {
             self.shared.handle_notice(&self.service, &id, self.dialect.notice(&head));
         }
         match mark {
-            Mark::Answer | Mark::Unfit => {
+            ResponseKind::Answer | ResponseKind::Unfit => {
                 self.attempts.runs += 1;
                 Ok(UpstreamResponse { head, body, connection, permit })
             }
-            Mark::Full => {
+            ResponseKind::Full => {
                 permit.end(Outcome::Shed);
                 self.drain_rejection(head.headers, body, connection);
                 Err(AttemptError::NotRun)
             }
-            Mark::Gone => {
+            ResponseKind::Gone => {
                 permit.end(Outcome::Gone);
                 Err(AttemptError::NotRun)
             }
-            Mark::Foreign => {
+            ResponseKind::Foreign => {
                 self.attempts.runs += 1;
                 permit.end(Outcome::Failed);
                 Err(AttemptError::MayHaveRun(Problem::UpstreamFailed))
--- a/crates/stairvale-serve/src/problem.rs
+++ b/crates/stairvale-serve/src/problem.rs
@@ -67,12 +67,12 @@
     /// Builds the response, with a problem document (RFC 9457) as its body.
     pub fn into_response<D: Dialect>(self, dialect: &D, id: &str) -> Response<Body> {
         let text = format!("{{\"title\":\"{self}\",\"status\":{}}}\n", self.status().as_u16());
-        let mut response = Response::new(Body::whole(text));
+        let mut response = Response::new(Body::complete(text));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
         if let Self::Refused(refusal) = self {
-            headers.insert(header::RETRY_AFTER, dialect.come_back(refusal.retry_after));
+            headers.insert(header::RETRY_AFTER, dialect.retry_after(refusal.retry_after));
         }
         dialect.name(headers, id);
         response
--- a/crates/stairvale-serve/src/ready.rs
+++ b/crates/stairvale-serve/src/ready.rs
@@ -40,7 +40,7 @@
         // The other metrics end with the line that terminates the document, so these come first.
         let more =
             shared.query(|core, _| metrics::customers(core.customers(MAX_CUSTOMERS)) + &rollouts::metrics(core.view()));
-        return Response::new(Body::whole(more + &shared.metrics.text()));
+        return Response::new(Body::complete(more + &shared.metrics.text()));
     }
     let ready = !shared.is_stopping() && shared.query(Core::is_ready);
     let status = match (request.uri().path() == path, ready) {
@@ -48,7 +48,7 @@
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer = Response::new(Body::whole(""));
+    let mut answer = Response::new(Body::complete(""));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/stairvale-serve/src/record.rs
+++ b/crates/stairvale-serve/src/record.rs
@@ -19,7 +19,7 @@
 
 /// A write of a record that is due.
 #[derive(Clone, Debug)]
-pub struct Due {
+pub struct PendingWrite {
     /// The write.
     pub write: Write,
     /// The peer for which it is written and the peer's number for it; `None` if it is this router's own.
@@ -27,8 +27,8 @@
 }
 
 /// Performs the writes that are due, until the task is dropped.
-pub async fn run<S: Source>(shared: Arc<Shared>, source: Arc<S>, mut due: mpsc::UnboundedReceiver<Due>) {
-    let mut calls: JoinSet<(Due, Written)> = JoinSet::new();
+pub async fn run<S: Source>(shared: Arc<Shared>, source: Arc<S>, mut due: mpsc::UnboundedReceiver<PendingWrite>) {
+    let mut calls: JoinSet<(PendingWrite, Written)> = JoinSet::new();
     loop {
         tokio::select! {
             Some(ended) = calls.join_next(), if !calls.is_empty() => report(&shared, ended),
@@ -43,12 +43,12 @@
     }
 }
 
-async fn write<S: Source>(shared: Arc<Shared>, source: Arc<S>, due: Due) -> (Due, Written) {
+async fn write<S: Source>(shared: Arc<Shared>, source: Arc<S>, due: PendingWrite) -> (PendingWrite, Written) {
     let written = match tokio::time::timeout(WRITE_TIMEOUT, source.record(&due.write)).await {
         Ok(Ok(written)) => written,
         Ok(Err(fault)) => {
             tracing::info!(service = %due.write.service, %fault, "the store did not accept a record of a roll-out");
-            fault.written()
+            fault.write_outcome()
         }
         Err(_) => Written::Unknown,
     };
@@ -61,7 +61,7 @@
     (due, written)
 }
 
-fn report(shared: &Shared, ended: Result<(Due, Written), JoinError>) {
+fn report(shared: &Shared, ended: Result<(PendingWrite, Written), JoinError>) {
     // Calls neither panic nor are aborted.
     let Ok((due, written)) = ended else {
         return;
--- a/crates/stairvale-serve/src/relay.rs
+++ b/crates/stairvale-serve/src/relay.rs
@@ -61,7 +61,7 @@
     }
 
     /// Discards an incomplete event, which the upstream that resumes the stream sends again.
-    pub fn cut(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
@@ -147,7 +147,7 @@
         if !self.exchange.try_start_retry() {
             return None;
         }
-        self.events.cut();
+        self.events.discard_partial();
         let last = self.events.last().map(str::to_owned);
         let reply = tokio::select! {
             reply = self.exchange.dispatch(last.as_deref()) => reply.ok()?,
--- a/crates/stairvale-serve/src/rollouts.rs
+++ b/crates/stairvale-serve/src/rollouts.rs
@@ -51,7 +51,7 @@
 }
 
 /// Logs what a service's home found or decided, with the figures behind it: one line, and one more for each route.
-pub fn say(table: &Table, event: &Event) {
+pub fn log_event(table: &Table, event: &Event) {
     let Event { service, order, target: version, is_committed: stands, requests, granted, .. } = event;
     let (stage, cause, elapsed_ms) = (stage(event.stage), cause(event.stage), event.elapsed.as_millis());
     let found = event.found.map(|(route, _)| route_name(table, route)).unwrap_or_default();
--- a/crates/stairvale-serve/src/run.rs
+++ b/crates/stairvale-serve/src/run.rs
@@ -195,7 +195,7 @@
     settings: Settings,
     socket: Arc<UdpSocket>,
     inspections: mpsc::UnboundedSender<inspect::Inspection>,
-    records: mpsc::UnboundedSender<record::Due>,
+    records: mpsc::UnboundedSender<record::PendingWrite>,
     quarantines: mpsc::UnboundedSender<quarantine::Term>,
 ) -> Arc<Shared> {
     let seed = uuid::Uuid::new_v4().as_u64_pair().0;
--- a/crates/stairvale-serve/src/settings.rs
+++ b/crates/stairvale-serve/src/settings.rs
@@ -198,48 +198,48 @@
 
     /// The age of a router's copy of the configuration from which keys are no longer accepted; `None` for no limit.
     #[must_use]
-    pub fn trust(&self) -> Option<Duration> {
+    pub fn key_trust_limit(&self) -> Option<Duration> {
         self.strict_revoke.then(|| Duration::from_millis(self.revoke_ms) * 19 / 20)
     }
 
     /// How soon this router must observe a change in the store.
     #[must_use]
-    pub fn notice(&self) -> Duration {
+    pub fn propagation_limit(&self) -> Duration {
         Duration::from_millis(self.configuration_ms.min(self.leave_ms).min(self.evacuation_ms))
     }
 
     /// How long a long poll of the store waits. Each response confirms that nothing newer existed when the poll was
     /// sent, so the reader's own copy is up to twice this old when the next response arrives.
     #[must_use]
-    pub fn watch(&self) -> Duration {
-        self.notice() / 5
+    pub fn watch_timeout(&self) -> Duration {
+        self.propagation_limit() / 5
     }
 
     /// How long the reader waits to batch changes before its next call: a release or a start of many upstreams changes
     /// an entry every few ms, and each response costs a call.
     #[must_use]
-    pub fn gather(&self) -> Duration {
-        self.notice() / 20
+    pub fn batch_delay(&self) -> Duration {
+        self.propagation_limit() / 20
     }
 
     /// A zone's watcher whose copy may be older than this reads the store itself. This is more than twice the duration
     /// of a long poll plus the time between two requests to the fleet's reader, so that it isn't needed in steady
     /// operation. It is less than the limit for the zone's other routers, so that they needn't read the store either.
     #[must_use]
-    pub fn late(&self) -> Duration {
-        self.notice() * 11 / 20
+    pub fn watcher_max_age(&self) -> Duration {
+        self.propagation_limit() * 11 / 20
     }
 
     /// A router whose copy may be older than this no longer relies on its peers and reads the store itself.
     #[must_use]
-    pub fn stale(&self) -> Duration {
-        self.notice() * 7 / 10
+    pub fn max_age(&self) -> Duration {
+        self.propagation_limit() * 7 / 10
     }
 
     /// Number of requests that a cold upstream which sustains `pace` requests per second may be given within any
     /// second, over the whole fleet.
     #[must_use]
-    pub fn cold(&self, pace: f64) -> f64 {
+    pub fn cold_burst(&self, pace: f64) -> f64 {
         pace * self.cold_excess + self.cold_slack
     }
 
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -32,7 +32,7 @@
     metrics::Metrics,
     permit::Permit,
     quarantine::Term,
-    record::Due,
+    record::PendingWrite,
     rollouts,
     traffic::Kind,
     upstream::Connections,
@@ -98,7 +98,7 @@
     /// Whether a configuration is in force.
     configured: watch::Sender<bool>,
     inspections: mpsc::UnboundedSender<Inspection>,
-    records: mpsc::UnboundedSender<Due>,
+    records: mpsc::UnboundedSender<PendingWrite>,
     quarantines: mpsc::UnboundedSender<Term>,
     core: Mutex<Core>,
     links: Links<Frame, Inbox>,
@@ -122,7 +122,7 @@
         core: Core,
         socket: Arc<UdpSocket>,
         inspections: mpsc::UnboundedSender<Inspection>,
-        records: mpsc::UnboundedSender<Due>,
+        records: mpsc::UnboundedSender<PendingWrite>,
         quarantines: mpsc::UnboundedSender<Term>,
     ) -> Arc<Self> {
         let clock = Clock::start();
@@ -269,12 +269,12 @@
                     let what = if evacuated { "a zone is evacuated" } else { "a zone is used again" };
                     tracing::info!(%zone, upstreams, "{what}");
                 }
-                Effect::Write(write) => self.record(Due { write, peer: None }),
-                Effect::WriteFor { peer, number, write } => self.record(Due { write, peer: Some((peer, number)) }),
+                Effect::Write(write) => self.record(PendingWrite { write, peer: None }),
+                Effect::WriteFor { peer, number, write } => self.record(PendingWrite { write, peer: Some((peer, number)) }),
                 Effect::Stage { service, policy, record } => {
                     rollouts::log(&service, &policy, record.as_deref());
                 }
-                Effect::ReportEvent(event) => rollouts::say(&self.table.load(), &event),
+                Effect::ReportEvent(event) => rollouts::log_event(&self.table.load(), &event),
                 Effect::Surplus { service, surplus } => {
                     let customer = surplus.customer.as_ref().map_or("", id::Customer::as_str);
                     let (running, share) = (surplus.running, surplus.share);
@@ -312,7 +312,7 @@
         }
     }
 
-    fn record(&self, due: Due) {
+    fn record(&self, due: PendingWrite) {
         // The receiver is dropped only when the process ends.
         let _ = self.records.send(due);
     }
--- a/crates/stairvale-serve/src/source.rs
+++ b/crates/stairvale-serve/src/source.rs
@@ -11,34 +11,34 @@
 pub enum Fault {
     /// The requested changes have been compacted: the complete state has to be read.
     #[error("the store has compacted these changes")]
-    Forgotten,
+    Compacted,
     /// The store refused the call and did nothing.
     #[error("the store refused")]
     Refused,
     /// A call that waited for changes was interrupted.
     #[error("the store interrupted a call that waited for changes")]
-    Cut,
+    Interrupted,
     /// The store can't be reached or didn't respond; a write may have taken effect.
     #[error("the store did not respond")]
-    Silent,
+    Unresponsive,
     /// The store's response is invalid.
     #[error("the store's response is invalid")]
-    Nonsense,
+    Malformed,
     /// The lease has expired.
     #[error("the lease has expired")]
-    Lapsed,
+    LeaseExpired,
     /// The response shows an older state of the store than one that was observed already.
     #[error("the store's response is older than an earlier one")]
-    Outdated,
+    StaleResponse,
 }
 
 impl Fault {
     /// The outcome of writing a record when the store's call failed with this fault.
     #[must_use]
-    pub fn written(self) -> Written {
+    pub fn write_outcome(self) -> Written {
         match self {
             Self::Refused => Written::Refused,
-            Self::Forgotten | Self::Cut | Self::Silent | Self::Nonsense | Self::Lapsed | Self::Outdated => {
+            Self::Compacted | Self::Interrupted | Self::Unresponsive | Self::Malformed | Self::LeaseExpired | Self::StaleResponse => {
                 Written::Unknown
             }
         }
@@ -56,14 +56,14 @@
 
 /// Changes to the routers that are registered in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Naming {
+pub struct Registrations {
     /// Routers to be registered, or registered again with changed data.
     pub put: Vec<Router>,
     /// Routers whose registration is to be removed.
     pub remove: Vec<id::Router>,
 }
 
-impl Naming {
+impl Registrations {
     /// Whether there are no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -77,16 +77,16 @@
     type Lease: Clone + Send + Sync;
 
     /// Reads the complete state.
-    fn everything(&self, consistency: Consistency) -> impl Future<Output = Result<StoreUpdate, Fault>> + Send;
+    fn read_all(&self, consistency: Consistency) -> impl Future<Output = Result<StoreUpdate, Fault>> + Send;
     /// Reads which routers are registered, as of up to some seconds ago: a few entries, however many upstreams there
     /// are.
-    fn names(&self) -> impl Future<Output = Result<Vec<Item>, Fault>> + Send;
+    fn read_routers(&self) -> impl Future<Output = Result<Vec<Item>, Fault>> + Send;
     /// Waits up to `wait` for changes after a revision.
     fn changes(&self, after: u64, wait: Duration) -> impl Future<Output = Result<StoreUpdate, Fault>> + Send;
     /// Grants a lease for the given time, counted from the call.
     fn grant(&self, keep: Duration) -> impl Future<Output = Result<Self::Lease, Fault>> + Send;
     /// Applies changes to the registrations of routers, all or none of them. Registrations last until the lease ends.
-    fn name(&self, lease: &Self::Lease, naming: &Naming) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn register(&self, lease: &Self::Lease, naming: &Registrations) -> impl Future<Output = Result<(), Fault>> + Send;
     /// Writes for how long a request is quarantined, that is, sent to no upstream. The entry lasts until the lease
     /// ends.
     fn quarantine(
--- a/crates/stairvale-serve/src/watch.rs
+++ b/crates/stairvale-serve/src/watch.rs
@@ -8,7 +8,7 @@
 use crate::{
     Shared, Source,
     core::{Core, Reading},
-    source::{Consistency, Fault, Naming},
+    source::{Consistency, Fault, Registrations},
 };
 
 /// How often a router that need not read the store checks whether it has to.
@@ -51,15 +51,15 @@
                 tokio::time::sleep(if confirmed { IDLE_POLL_INTERVAL } else { UNCONFIRMED_POLL_INTERVAL }).await;
                 continue;
             }
-            Some(_) if compacted => source.everything(Consistency::Linearizable).await,
-            Some(Reading::Names) => match source.names().await {
+            Some(_) if compacted => source.read_all(Consistency::Linearizable).await,
+            Some(Reading::Names) => match source.read_routers().await {
                 Ok(names) => {
                     shared.with(|core, now| core.read_registrations(now, names));
                     continue;
                 }
                 Err(fault) => Err(fault),
             },
-            Some(Reading::Stale) => source.everything(Consistency::Stale).await,
+            Some(Reading::Stale) => source.read_all(Consistency::Stale).await,
             Some(Reading::Changes(wait)) => source.changes(revision, wait).await,
         };
         for _ in 0..source.take_unreadable() {
@@ -80,7 +80,7 @@
                     shared.metrics.count("store-restored");
                 }
                 if revision > 0 && read_revision > revision {
-                    tokio::time::sleep(shared.settings.bounds.gather()).await;
+                    tokio::time::sleep(shared.settings.bounds.batch_delay()).await;
                 }
                 if read_revision == 0 || !stale && Revision::from(read_revision).number() == 0 {
                     // Nothing was ever written to the store, or the copy that was read predates the first write.
@@ -92,10 +92,10 @@
         };
         shared.metrics.count("store-fault");
         match fault {
-            Fault::Forgotten => compacted = true,
+            Fault::Compacted => compacted = true,
             // A long poll may be interrupted without a fault; two interruptions in a row count as one.
-            Fault::Cut if !interrupted => interrupted = true,
-            Fault::Cut | Fault::Refused | Fault::Silent | Fault::Nonsense | Fault::Lapsed | Fault::Outdated => {
+            Fault::Interrupted if !interrupted => interrupted = true,
+            Fault::Interrupted | Fault::Refused | Fault::Unresponsive | Fault::Malformed | Fault::LeaseExpired | Fault::StaleResponse => {
                 if delay == INITIAL_BACKOFF {
                     tracing::info!(%fault, "the store fails");
                 }
@@ -151,7 +151,7 @@
 impl<S: Source> Registrar<S> {
     /// Writes due changes, renews the lease, or takes over all registrations. Returns whether registrations were
     /// written.
-    async fn maintain(&mut self, now: Moment, due: Naming, all: Naming, settle_time: Duration) -> Result<bool, Fault> {
+    async fn maintain(&mut self, now: Moment, due: Registrations, all: Registrations, settle_time: Duration) -> Result<bool, Fault> {
         let reader_since = *self.reader_since.get_or_insert(now);
         if due.is_empty() {
             self.due_since = None;
@@ -164,7 +164,7 @@
                     self.lease = Some((lease.clone(), now + REGISTRATION_TTL / RENEWALS_PER_TTL));
                     Ok(false)
                 }
-                Err(Fault::Lapsed) => self.write(now, all).await,
+                Err(Fault::LeaseExpired) => self.write(now, all).await,
                 Err(fault) => Err(fault),
             },
             None if now.since(reader_since) >= TAKEOVER_DELAY && !all.is_empty() => self.write(now, all).await,
@@ -173,14 +173,14 @@
     }
 
     /// Writes registrations, under the current lease or a new one.
-    async fn write(&mut self, now: Moment, naming: Naming) -> Result<bool, Fault> {
+    async fn write(&mut self, now: Moment, naming: Registrations) -> Result<bool, Fault> {
         let lease = match self.lease.take() {
             Some((lease, _)) => lease,
             None => self.source.grant(REGISTRATION_TTL).await?,
         };
         let renew = now + REGISTRATION_TTL / RENEWALS_PER_TTL;
         // An expired lease is replaced by a new one in the next attempt.
-        self.source.name(&lease, &naming).await?;
+        self.source.register(&lease, &naming).await?;
         tracing::info!(named = naming.put.len(), removed = naming.remove.len(), "routers are named in the store");
         (self.lease, self.due_since) = (Some((lease, renew)), None);
         Ok(true)
--- a/crates/stairvale-serve/tests/core.rs
+++ b/crates/stairvale-serve/tests/core.rs
@@ -19,7 +19,7 @@
 
 /// The time within which routers have to get a change of the store, in ms.
 fn notice_ms(world: &World) -> u64 {
-    u64::try_from(world.bounds.notice().as_millis()).unwrap()
+    u64::try_from(world.bounds.propagation_limit().as_millis()).unwrap()
 }
 
 /// Advances the time, in ms, and returns the routers that began to read the store meanwhile.
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -21,7 +21,7 @@
     core::{Core, Effect, Reading, Reply},
     frame::Frame,
     settings::Bounds,
-    source::Naming,
+    source::Registrations,
 };
 use stairvale_table::{Cold, Customer, Document, Engine, Service};
 use stairvale_types::{Moment, id};
@@ -114,7 +114,7 @@
     strengths: Vec<u32>,
     zones: usize,
     /// Registration changes that a reader wants to write, by its index, with the time since when it wants the same.
-    pending_registrations: HashMap<usize, (Naming, u64)>,
+    pending_registrations: HashMap<usize, (Registrations, u64)>,
     /// Frames sent between routers that carried changes of the store.
     pub update_frames: usize,
     /// Running requests whose upstream's incarnation ended, each with the router that terminated it.
