--- a/crates/stairvale-claim/src/record.rs
+++ b/crates/stairvale-claim/src/record.rs
@@ -5,7 +5,7 @@
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use stairvale_types::id;
-use stairvale_wire::{Stored, codec};
+use stairvale_wire::{StoredAnswer, codec};
 
 /// The largest body of an answer that is stored, in bytes.
 pub const MAX_BODY_BYTES: usize = 1_024;
@@ -13,7 +13,7 @@
 /// megabyte.
 pub const MAX_RECORD_BYTES: usize = 900_000;
 /// How long a claim is stored, in milliseconds. A repeat of its key within this time is recognised.
-pub const KEEP_MS: u64 = 3_600_000;
+pub const CLAIM_RETENTION_MS: u64 = 3_600_000;
 
 /// A claim of an attempt on an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     /// When the claim was made, in milliseconds since the Unix epoch by the clock of the shard's owner.
     pub at_ms: u64,
     /// The answer to the request, once its entry has reported it.
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredAnswer>,
 }
 
 /// A reference to a stored value that holds claims which no longer change.
@@ -105,7 +105,7 @@
 
     /// Removes claims and segments that are older than [`KEEP_MS`].
     pub fn expire(&mut self, now_ms: u64) {
-        self.claims.retain(|_, claim| claim.at_ms.saturating_add(KEEP_MS) > now_ms);
-        self.segments.retain(|segment| segment.newest_ms.saturating_add(KEEP_MS) > now_ms);
+        self.claims.retain(|_, claim| claim.at_ms.saturating_add(CLAIM_RETENTION_MS) > now_ms);
+        self.segments.retain(|segment| segment.newest_ms.saturating_add(CLAIM_RETENTION_MS) > now_ms);
     }
 }
--- a/crates/stairvale-claim/src/shard.rs
+++ b/crates/stairvale-claim/src/shard.rs
@@ -7,12 +7,12 @@
 use std::{collections::HashMap, time::Duration};
 
 use stairvale_types::{Moment, id};
-use stairvale_wire::{ClaimVerdict, Stored};
+use stairvale_wire::{ClaimVerdict, StoredAnswer};
 
 pub use crate::effect::{Effect, Reply};
 use crate::{
     Record,
-    record::{Claim, Claims, KEEP_MS, MAX_BODY_BYTES, MAX_RECORD_BYTES, from_text},
+    record::{Claim, Claims, CLAIM_RETENTION_MS, MAX_BODY_BYTES, MAX_RECORD_BYTES, from_text},
     seal::Seal,
     wish::{PendingClaim, Settlement},
 };
@@ -146,7 +146,7 @@
         from: &id::Router,
         key: id::Key,
         attempt: id::Attempt,
-        stored: Option<Stored>,
+        stored: Option<StoredAnswer>,
     ) -> Vec<Effect> {
         let duplicate =
             self.settlements.iter().any(|settlement| settlement.attempt == attempt && settlement.key == key);
@@ -160,7 +160,7 @@
             // The entry repeats its report until it receives the confirmation that the outcome is stored.
             return Vec::new();
         }
-        let limit_body = |mut stored: Stored| {
+        let limit_body = |mut stored: StoredAnswer| {
             stored.body = stored.body.filter(|body| body.len() <= MAX_BODY_BYTES);
             stored
         };
@@ -204,7 +204,7 @@
     // ------------------------------------------------------------------------
 
     /// The answer to a request with this key, if its outcome waits to be stored.
-    fn waiting_answer(&self, key: id::Key) -> Option<Stored> {
+    fn waiting_answer(&self, key: id::Key) -> Option<StoredAnswer> {
         let settlement = self.settlements.iter().find(|settlement| settlement.key == key)?;
         settlement.stored.clone()
     }
@@ -392,7 +392,7 @@
     fn is_expired(&self, id: &str, now_ms: u64) -> bool {
         let segments = self.cached.iter().flat_map(|(record, _)| &record.segments);
         let segment = segments.into_iter().find(|segment| segment.id == id);
-        segment.is_none_or(|segment| segment.newest_ms.saturating_add(KEEP_MS) <= now_ms)
+        segment.is_none_or(|segment| segment.newest_ms.saturating_add(CLAIM_RETENTION_MS) <= now_ms)
     }
 
     fn drop_cached_record(&mut self) {
--- a/crates/stairvale-claim/src/wish.rs
+++ b/crates/stairvale-claim/src/wish.rs
@@ -1,7 +1,7 @@
 //! Claim requests and outcomes of entries that wait to be written into a shard's record.
 
 use stairvale_types::{Moment, id};
-use stairvale_wire::{ClaimVerdict, Stored};
+use stairvale_wire::{ClaimVerdict, StoredAnswer};
 
 use crate::{Record, effect::Effect, record::Claim};
 
@@ -23,7 +23,7 @@
     pub key: id::Key,
     pub attempt: id::Attempt,
     /// The answer to the request; `None` releases the claim, since nothing was sent to an upstream.
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredAnswer>,
     /// The entry that expects a confirmation; `None` if the shard's owner itself released the claim.
     pub from: Option<id::Router>,
     /// When the outcome was reported.
--- a/crates/stairvale-claim/tests/shard.rs
+++ b/crates/stairvale-claim/tests/shard.rs
@@ -11,7 +11,7 @@
     shard::{Effect, Reply},
 };
 use stairvale_types::{Moment, id};
-use stairvale_wire::{ClaimVerdict, Stored};
+use stairvale_wire::{ClaimVerdict, StoredAnswer};
 
 /// A simulated store with one record and its segments. The bytes of `losses` determine which answers are lost.
 #[derive(Default)]
@@ -111,7 +111,7 @@
     }
 
     fn settle(&mut self, owner: usize, key: u128, attempt: u128) {
-        let stored = Stored {
+        let stored = StoredAnswer {
             print: id::Print(1),
             status: 200,
             content_type: "t".into(),
--- a/crates/stairvale-config/src/document.rs
+++ b/crates/stairvale-config/src/document.rs
@@ -9,7 +9,7 @@
 use crate::{Fault, verify};
 
 /// The largest document, in bytes.
-pub const MAX_DOCUMENT: usize = 8 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// A complete configuration of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -122,7 +122,7 @@
     /// The first [`Fault`]: the text is too large, it isn't YAML of this schema, or its values are out of range or
     /// contradict each other.
     pub fn parse(text: &str) -> Result<Self, Report<Fault>> {
-        if text.len() > MAX_DOCUMENT {
+        if text.len() > MAX_DOCUMENT_BYTES {
             return Err(Report::new(Fault::size(text.len())));
         }
         let document: Self = serde_norway::from_str(text).map_err(|error| Report::new(Fault::syntax(&error)))?;
--- a/crates/stairvale-config/src/fault.rs
+++ b/crates/stairvale-config/src/fault.rs
@@ -20,7 +20,7 @@
     #[error("{0}")]
     Syntax(String),
     /// The document, whose size in bytes is given, exceeds [`MAX_DOCUMENT`](crate::document::MAX_DOCUMENT).
-    #[error("document of {0} bytes exceeds the limit of {limit} bytes", limit = crate::document::MAX_DOCUMENT)]
+    #[error("document of {0} bytes exceeds the limit of {limit} bytes", limit = crate::document::MAX_DOCUMENT_BYTES)]
     Size(usize),
     /// Two items of one list have this name.
     #[error("duplicate name {0}")]
--- a/crates/stairvale-control/src/handlers/claims.rs
+++ b/crates/stairvale-control/src/handlers/claims.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use stairvale_claim::{record::KEEP_MS, shard, shard_of};
+use stairvale_claim::{record::CLAIM_RETENTION_MS, shard, shard_of};
 use stairvale_types::id;
-use stairvale_wire::{ClaimVerdict, Frame, Stored};
+use stairvale_wire::{ClaimVerdict, Frame, StoredAnswer};
 
 use crate::{
     Node, Output,
@@ -18,7 +18,7 @@
 /// it has written it. Settling is idempotent, so repeated sends are harmless.
 const MAX_SETTLE_TRIES: u16 = 600;
 /// Time for which the store keeps a segment: twice as long as a claim, since the clocks of shard owners differ.
-const SEGMENT_TTL: Duration = Duration::from_millis(2 * KEEP_MS);
+const SEGMENT_TTL: Duration = Duration::from_millis(2 * CLAIM_RETENTION_MS);
 /// Time for which an abandoned claim is remembered, to give it back if the owner grants it late.
 const GIVEN_UP_RETENTION: Duration = Duration::from_secs(60);
 /// Interval between two sends of a settlement, and the retry delay of callers whose claim went unanswered.
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, key: id::Key, attempt: id::Attempt, stored: Option<Stored>) {
+    pub(crate) fn settle(&mut self, key: id::Key, attempt: id::Attempt, stored: Option<StoredAnswer>) {
         self.pending_claims.remove(&attempt);
         let settled = Unsettled { key, attempt, stored, sent: self.now, tries_left: MAX_SETTLE_TRIES };
         self.send_settled(&settled);
@@ -115,7 +115,7 @@
         from: &id::Router,
         key: id::Key,
         attempt: id::Attempt,
-        stored: Option<Stored>,
+        stored: Option<StoredAnswer>,
     ) {
         let number = shard_of(key);
         let shard = self.shards.entry(number).or_default();
--- a/crates/stairvale-control/src/handlers/frames.rs
+++ b/crates/stairvale-control/src/handlers/frames.rs
@@ -2,7 +2,7 @@
 
 use stairvale_permit::{mean::Sum, rules::Answer as HomeAnswer};
 use stairvale_types::id;
-use stairvale_wire::{Ask, Frame, Verdict};
+use stairvale_wire::{PermitRequest, Frame, Verdict};
 
 use crate::{Node, Output, node::TICK, orders::Loaded};
 
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn permit_requested(&mut self, from: &id::Router, ask: Ask) {
+    pub(crate) fn permit_requested(&mut self, from: &id::Router, ask: PermitRequest) {
         if self.rejoining || self.leaving || !self.home.owns(&ask.upstream) {
             let verdict = Verdict::NotHome { home: None };
             let answer = HomeAnswer { to: from.clone(), upstream: ask.upstream, attempt: ask.attempt, verdict };
--- a/crates/stairvale-control/src/handlers/requests.rs
+++ b/crates/stairvale-control/src/handlers/requests.rs
@@ -9,7 +9,7 @@
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Reason, Refusal, id};
-use stairvale_wire::{Frame, Profile, Verdict, frame::rebuild};
+use stairvale_wire::{Frame, Profile, Verdict, frame::token_cost};
 
 use crate::{Node, Output, io::Request, node::Policy};
 
@@ -46,8 +46,8 @@
         }
         let transfers = is_fleet && service.transfer_us_per_token > 0;
         let estimate = Estimate {
-            prefill: rebuild(request.prompt, service.prefill_us_per_token),
-            transfer: transfers.then(|| rebuild(request.prompt, service.transfer_us_per_token)),
+            prefill: token_cost(request.prompt, service.prefill_us_per_token),
+            transfer: transfers.then(|| token_cost(request.prompt, service.transfer_us_per_token)),
             max_prefix_wait: if is_fleet { service.prefix_wait } else { Duration::ZERO },
             deadline: request.deadline,
         };
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -4,7 +4,7 @@
 
 use stairvale_permit::Rules;
 use stairvale_types::id;
-use stairvale_wire::{Frame, Word, packet::State};
+use stairvale_wire::{Frame, UpstreamReport, packet::UpstreamState};
 
 use crate::{Event, Node, Output, io::ProbeAnswer, node::Policy};
 
@@ -15,11 +15,11 @@
 /// Number of consecutive missed probes from which on an upstream counts as unreachable.
 const MAX_MISSED_PROBES: u32 = 2;
 
-fn state_name(state: State) -> &'static str {
+fn state_name(state: UpstreamState) -> &'static str {
     match state {
-        State::Serving => "serving",
-        State::Draining => "draining",
-        State::Unreachable => "unreachable",
+        UpstreamState::Serving => "serving",
+        UpstreamState::Draining => "draining",
+        UpstreamState::Unreachable => "unreachable",
     }
 }
 
@@ -92,7 +92,7 @@
 
     /// Applies a status report of an upstream, from this router's own probe or from a peer, and passes a new one on by
     /// gossip.
-    pub(crate) fn apply_status(&mut self, status: &Word) {
+    pub(crate) fn apply_status(&mut self, status: &UpstreamReport) {
         let before = self.fleet.upstream(&status.upstream).and_then(|u| u.latest_report.as_ref().map(|status| status.state));
         if !self.fleet.upstreams.record_report(self.now, status) {
             return;
--- a/crates/stairvale-control/src/io.rs
+++ b/crates/stairvale-control/src/io.rs
@@ -6,7 +6,7 @@
 use stairvale_config::{Document, Generation, Manifest, chunk::Digest};
 use stairvale_permit::request::Grant;
 use stairvale_types::{Refusal, id, unit};
-use stairvale_wire::{ClaimVerdict, Frame, Packet, Profile, Stored, Vm, packet::State};
+use stairvale_wire::{ClaimVerdict, Frame, Packet, Profile, StoredAnswer, Vm, packet::UpstreamState};
 
 use crate::{Event, orders};
 
@@ -35,7 +35,7 @@
     /// The upstream's own count of state changes in this incarnation.
     pub change: u64,
     /// Whether the upstream serves or drains, by its own report.
-    pub state: State,
+    pub state: UpstreamState,
     /// Number of requests outstanding at the upstream.
     pub load: u32,
     /// The model and version that the upstream has loaded, if it is an engine.
@@ -174,7 +174,7 @@
         /// The attempt that held the claim.
         attempt: id::Attempt,
         /// The answer to record; `None` if no byte of the request was sent, which gives the claim back.
-        stored: Option<Stored>,
+        stored: Option<StoredAnswer>,
     },
     /// A probe of an upstream was answered or timed out.
     Probed {
--- a/crates/stairvale-control/src/node.rs
+++ b/crates/stairvale-control/src/node.rs
@@ -16,7 +16,7 @@
 use stairvale_membership::{Swim, swim};
 use stairvale_permit::{Entry, Home};
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Frame, Member, Status, Stored};
+use stairvale_wire::{Frame, Member, Status, StoredAnswer};
 
 use crate::{Event, Fleet, Input, Output, explain, generation, orders, stats::Stats, sums::Sums, sweep};
 
@@ -142,7 +142,7 @@
 pub(crate) struct Unsettled {
     pub key: id::Key,
     pub attempt: id::Attempt,
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredAnswer>,
     pub sent: Moment,
     pub tries_left: u16,
 }
@@ -236,7 +236,7 @@
             address: settings.address,
             incarnation: settings.incarnation,
             status: Status::Alive,
-            strength: Member::ALIKE,
+            strength: Member::DEFAULT_STRENGTH,
         };
         let swim = Swim::new(member, settings.swim, settings.seed).with_seeds(settings.seeds);
         Self {
--- a/crates/stairvale-control/tests/world/mod.rs
+++ b/crates/stairvale-control/tests/world/mod.rs
@@ -34,8 +34,8 @@
 use stairvale_permit::request::Grant;
 use stairvale_types::{Class, Moment, Refusal, id, unit};
 use stairvale_wire::{
-    ClaimVerdict, Profile, Stored, Vm,
-    packet::{Role, State},
+    ClaimVerdict, Profile, StoredAnswer, Vm,
+    packet::{Role, UpstreamState},
 };
 
 use store::Store;
@@ -354,7 +354,7 @@
                 }
                 if self.is_current(&name, incarnation) {
                     self.executions.entry(key).or_default().push(attempt);
-                    let stored = Stored {
+                    let stored = StoredAnswer {
                         print: id::Print(1),
                         status: 200,
                         content_type: "text/plain".into(),
--- a/crates/stairvale-control/tests/world/upstreams.rs
+++ b/crates/stairvale-control/tests/world/upstreams.rs
@@ -17,7 +17,7 @@
         let report = reached.then(|| ProbeAnswer {
             boot: engine.boot,
             change: engine.change,
-            state: if engine.draining { State::Draining } else { State::Serving },
+            state: if engine.draining { UpstreamState::Draining } else { UpstreamState::Serving },
             load: u32::try_from(engine.running.len()).unwrap(),
             model: engine.loaded.clone(),
         });
--- a/crates/stairvale-link/src/lib.rs
+++ b/crates/stairvale-link/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use links::Links;
 pub use listen::listen;
-pub use silence::watch_over;
+pub use silence::set_liveness_timeouts;
 
 use stairvale_types::id;
 
--- a/crates/stairvale-link/src/links.rs
+++ b/crates/stairvale-link/src/links.rs
@@ -16,7 +16,7 @@
 use stairvale_wire::codec;
 use tokio::{net::TcpStream, task::AbortHandle};
 
-use crate::{SENDER_HEADER, Sink, VERSION_HEADER, watch_over};
+use crate::{SENDER_HEADER, Sink, VERSION_HEADER, set_liveness_timeouts};
 
 /// Limits a TCP connect. A peer that is powered off, or whose accept queue is full, drops the first SYN, and the kernel
 /// retransmits it only after a second, so a new connect is faster.
@@ -134,20 +134,20 @@
     /// Encodes and sends a frame, opening a stream if there is none. Returns `false` if the frame was dropped, because
     /// it is too large or because the stream to the peer failed less than 100 ms ago.
     pub fn send(&self, to: &id::Router, address: SocketAddr, frame: &F) -> bool {
-        Self::write(frame).is_some_and(|bytes| self.send_written(to, address, bytes))
+        Self::encode(frame).is_some_and(|bytes| self.send_encoded(to, address, bytes))
     }
 
     /// Encodes a frame for [`Self::send_written`]; `None` if it exceeds [`codec::MAX_FRAME`]. A frame that goes to
     /// several peers is encoded once: all their streams share the buffer, which is freed after the last of them has
     /// sent it.
     #[must_use]
-    pub fn write(frame: &F) -> Option<Bytes> {
+    pub fn encode(frame: &F) -> Option<Bytes> {
         codec::encode(frame).ok()
     }
 
     /// Sends a frame encoded by [`Self::write`], opening a stream if there is none. Returns `false` if the frame was
     /// dropped because the stream to the peer failed less than 100 ms ago.
-    pub fn send_written(&self, to: &id::Router, address: SocketAddr, bytes: Bytes) -> bool {
+    pub fn send_encoded(&self, to: &id::Router, address: SocketAddr, bytes: Bytes) -> bool {
         let mut links = self.lock();
         if let Some(link) = links.get_mut(to).filter(|link| link.address == address) {
             match &mut link.state {
@@ -246,7 +246,7 @@
 /// Connects to a peer and opens a stream; `None` if that fails or the peer rejects the request.
 async fn connect(local: &id::Router, address: SocketAddr) -> Option<Opened> {
     let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
-    watch_over(&tcp, ACK_TIMEOUT).ok()?;
+    set_liveness_timeouts(&tcp, ACK_TIMEOUT).ok()?;
     let (client, mut connection) = h2::client::handshake(tcp).await.ok()?;
     let pings = connection.ping_pong()?;
     let connection = Connection(tokio::spawn(connection).abort_handle());
--- a/crates/stairvale-link/src/listen.rs
+++ b/crates/stairvale-link/src/listen.rs
@@ -9,7 +9,7 @@
 use stairvale_wire::codec;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::{SENDER_HEADER, Sink, VERSION_HEADER, links::ACK_TIMEOUT, watch_over};
+use crate::{SENDER_HEADER, Sink, VERSION_HEADER, links::ACK_TIMEOUT, set_liveness_timeouts};
 
 /// Flow-control window of a connection: the bytes that may wait to be read. `h2` closes a connection whose waiting
 /// small frames, headers included, exceed half of the window; with its default window a burst of a hundred frames would
@@ -30,7 +30,7 @@
 }
 
 async fn serve<F: DeserializeOwned + Send + 'static, S: Sink<F>>(tcp: TcpStream, sink: S) {
-    if watch_over(&tcp, ACK_TIMEOUT).is_err() {
+    if set_liveness_timeouts(&tcp, ACK_TIMEOUT).is_err() {
         return;
     }
     let handshake = h2::server::Builder::new().initial_connection_window_size(CONNECTION_WINDOW_BYTES).handshake(tcp);
--- a/crates/stairvale-link/src/silence.rs
+++ b/crates/stairvale-link/src/silence.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// The error of the system call that failed; the connection must not be used then.
-pub fn watch_over(tcp: &TcpStream, limit: Duration) -> io::Result<()> {
+pub fn set_liveness_timeouts(tcp: &TcpStream, limit: Duration) -> io::Result<()> {
     tcp.set_nodelay(true)?;
     let socket = SockRef::from(tcp);
     socket.set_tcp_user_timeout(Some(limit))?;
--- a/crates/stairvale-membership/src/swim.rs
+++ b/crates/stairvale-membership/src/swim.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Member, Packet, Status, Update, VERSION, Word, packet::Body};
+use stairvale_wire::{Member, Packet, Status, Update, VERSION, UpstreamReport, packet::Body};
 
 mod gossip;
 mod probe;
@@ -79,7 +79,7 @@
     /// A router shuts down as planned.
     Leaves(id::Router),
     /// A status report of an upstream was received.
-    Upstream(Word),
+    Upstream(UpstreamReport),
     /// A packet stated which generation, list of VMs and upstream reports a peer has.
     Versions {
         /// The peer.
@@ -316,7 +316,7 @@
     }
 
     /// Gossips a status report of an upstream, which a few peers are sent at once.
-    pub fn gossip_report(&mut self, report: Word) -> Vec<Effect> {
+    pub fn gossip_report(&mut self, report: UpstreamReport) -> Vec<Effect> {
         self.enqueue(Update::Upstream(report));
         self.notify_some_peers()
     }
--- a/crates/stairvale-membership/src/upstreams.rs
+++ b/crates/stairvale-membership/src/upstreams.rs
@@ -4,8 +4,8 @@
 
 use stairvale_types::{Moment, id};
 use stairvale_wire::{
-    Vm, Word,
-    packet::{Role, State},
+    Vm, UpstreamReport,
+    packet::{Role, UpstreamState},
 };
 
 /// How long this router sends an upstream nothing after a failed connection. The time doubles with each further
@@ -36,7 +36,7 @@
     /// The upstream's capacity relative to others.
     pub weight: u32,
     /// The latest report of the upstream or of its prober.
-    pub latest_report: Option<Word>,
+    pub latest_report: Option<UpstreamReport>,
     /// Whether the platform is removing the upstream.
     pub leaving: bool,
     unlisted_since: Option<Moment>,
@@ -72,7 +72,7 @@
     /// connections, then flap damping; the platform's lagging list can only withdraw an upstream.
     #[must_use]
     pub fn usable(&self, now: Moment) -> bool {
-        let serving = self.latest_report.as_ref().is_some_and(|report| report.state == State::Serving);
+        let serving = self.latest_report.as_ref().is_some_and(|report| report.state == UpstreamState::Serving);
         serving && !self.leaving && self.unlisted_since.is_none() && !self.suppressed && now >= self.cool_until
     }
 
@@ -105,7 +105,7 @@
     upstreams: BTreeMap<id::Upstream, Upstream>,
     revision: u64,
     /// Reports that were received before the list contained their upstream.
-    early_reports: BTreeMap<id::Upstream, Word>,
+    early_reports: BTreeMap<id::Upstream, UpstreamReport>,
 }
 
 /// Maximum number of early reports that are kept.
@@ -195,7 +195,7 @@
 
     /// Applies a report that was received from the upstream or through peers. Only a later one changes anything;
     /// returns whether it did.
-    pub fn record_report(&mut self, now: Moment, report: &Word) -> bool {
+    pub fn record_report(&mut self, now: Moment, report: &UpstreamReport) -> bool {
         let Some(upstream) = self.upstreams.get_mut(&report.upstream) else {
             self.store_early(report);
             return false;
@@ -204,7 +204,7 @@
         if old.is_some_and(|old| report.order() <= old.order()) {
             return false;
         }
-        let returned = old.is_some_and(|old| old.state == State::Unreachable) && report.state == State::Serving;
+        let returned = old.is_some_and(|old| old.state == UpstreamState::Unreachable) && report.state == UpstreamState::Serving;
         upstream.latest_report = Some(report.clone());
         if returned {
             upstream.decay_flap_penalty(now);
@@ -216,7 +216,7 @@
         true
     }
 
-    fn store_early(&mut self, report: &Word) {
+    fn store_early(&mut self, report: &UpstreamReport) {
         let later = self.early_reports.get(&report.upstream).is_none_or(|old| report.order() > old.order());
         if later && self.early_reports.len() < MAX_EARLY_REPORTS {
             self.early_reports.insert(report.upstream.clone(), report.clone());
@@ -225,22 +225,22 @@
 
     /// The prober's next report, after the upstream answered with its own counters.
     #[must_use]
-    pub fn reachable_report(&self, name: &id::Upstream, boot: u64, change: u64, state: State) -> Option<Word> {
+    pub fn reachable_report(&self, name: &id::Upstream, boot: u64, change: u64, state: UpstreamState) -> Option<UpstreamReport> {
         let old = self.upstreams.get(name)?.latest_report.as_ref();
         let same = old.filter(|old| (old.boot, old.change) == (boot, change));
-        let reach = same.map_or(0, |old| old.reach + u64::from(old.state == State::Unreachable));
-        Some(Word { upstream: name.clone(), boot, change, reach, state })
+        let reach = same.map_or(0, |old| old.reach + u64::from(old.state == UpstreamState::Unreachable));
+        Some(UpstreamReport { upstream: name.clone(), boot, change, reach, state })
     }
 
     /// The prober's next report, after the upstream didn't answer; `None` if there is no report yet or it already
     /// states that.
     #[must_use]
-    pub fn unreachable_report(&self, name: &id::Upstream) -> Option<Word> {
+    pub fn unreachable_report(&self, name: &id::Upstream) -> Option<UpstreamReport> {
         let old = self.upstreams.get(name)?.latest_report.as_ref()?;
-        if old.state == State::Unreachable {
+        if old.state == UpstreamState::Unreachable {
             return None;
         }
-        Some(Word { reach: old.reach + 1, state: State::Unreachable, ..old.clone() })
+        Some(UpstreamReport { reach: old.reach + 1, state: UpstreamState::Unreachable, ..old.clone() })
     }
 
     /// Records that a connection from this router failed, so that the upstream is sent nothing for a while.
@@ -276,7 +276,7 @@
 }
 
 /// The part of the digest that one report makes up.
-fn report_digest(report: &Word) -> u64 {
+fn report_digest(report: &UpstreamReport) -> u64 {
     /// The fraction of the golden ratio, which spreads small differences over all bits as in Fibonacci hashing.
     const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
     let (boot, change, reach) = report.order();
--- a/crates/stairvale-membership/tests/membership.rs
+++ b/crates/stairvale-membership/tests/membership.rs
@@ -14,8 +14,8 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire as wire;
 use stairvale_wire::{
-    Member, Packet, Status, Vm, Word,
-    packet::{Role, State},
+    Member, Packet, Status, Vm, UpstreamReport,
+    packet::{Role, UpstreamState},
 };
 
 fn address(number: u16) -> SocketAddr {
@@ -29,7 +29,7 @@
         address: address(number),
         incarnation: id::Incarnation(1),
         status: Status::Alive,
-        strength: Member::ALIKE,
+        strength: Member::DEFAULT_STRENGTH,
     }
 }
 
@@ -390,7 +390,7 @@
     let mut swim = Swim::new(member(0), Settings::default(), 1).with_seeds(vec![address(1)]);
     for number in 0..2_000 {
         let upstream = format!("a-rather-long-upstream-name-{number}").parse().unwrap();
-        let report = Word { upstream, boot: u64::MAX, change: 3, reach: 4, state: State::Draining };
+        let report = UpstreamReport { upstream, boot: u64::MAX, change: 3, reach: 4, state: UpstreamState::Draining };
         swim.gossip_report(report);
     }
     let effects = swim.tick(Moment::from_millis(300));
@@ -416,8 +416,8 @@
     }
 }
 
-fn report(boot: u64, change: u64, reach: u64, state: State) -> Word {
-    Word { upstream: "e".parse().unwrap(), boot, change, reach, state }
+fn report(boot: u64, change: u64, reach: u64, state: UpstreamState) -> UpstreamReport {
+    UpstreamReport { upstream: "e".parse().unwrap(), boot, change, reach, state }
 }
 
 fn listed() -> Upstreams {
@@ -434,7 +434,7 @@
 fn the_list_alone_makes_no_upstream_usable_but_withdraws_it() {
     let mut upstreams = listed();
     assert!(!usable(&upstreams, Moment::ZERO), "it hasn't sent a report itself");
-    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, UpstreamState::Serving));
     assert!(usable(&upstreams, Moment::ZERO));
     upstreams.apply_vm_list(Moment::ZERO, 2, &[vm("e", true)]);
     assert!(!usable(&upstreams, Moment::ZERO));
@@ -444,11 +444,11 @@
 #[test]
 fn an_upstreams_own_report_takes_precedence_over_the_list() {
     let mut upstreams = listed();
-    upstreams.record_report(Moment::ZERO, &report(1, 1, 0, State::Draining));
+    upstreams.record_report(Moment::ZERO, &report(1, 1, 0, UpstreamState::Draining));
     assert!(!usable(&upstreams, Moment::ZERO), "it drains, whatever the list says");
-    upstreams.record_report(Moment::ZERO, &report(1, 0, 5, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 5, UpstreamState::Serving));
     assert!(!usable(&upstreams, Moment::ZERO), "an earlier report that arrives late changes nothing");
-    upstreams.record_report(Moment::ZERO, &report(2, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(2, 0, 0, UpstreamState::Serving));
     assert!(usable(&upstreams, Moment::ZERO), "a new incarnation starts afresh");
 }
 
@@ -456,7 +456,7 @@
 fn failed_connections_cool_down_and_double() {
     let mut upstreams = listed();
     let name = "e".parse().unwrap();
-    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, UpstreamState::Serving));
     upstreams.record_connection_failure(Moment::ZERO, &name);
     assert!(!usable(&upstreams, Moment::from_millis(499)));
     assert!(usable(&upstreams, Moment::from_millis(500)));
@@ -473,8 +473,8 @@
     let mut reach = 0;
     for flap in 0..6 {
         let now = Moment::from_millis(flap * 500);
-        upstreams.record_report(now, &report(1, 0, reach + 1, State::Unreachable));
-        upstreams.record_report(now, &report(1, 0, reach + 2, State::Serving));
+        upstreams.record_report(now, &report(1, 0, reach + 1, UpstreamState::Unreachable));
+        upstreams.record_report(now, &report(1, 0, reach + 2, UpstreamState::Serving));
         reach += 2;
     }
     let now = Moment::from_millis(3_000);
@@ -488,7 +488,7 @@
 #[test]
 fn an_unlisted_upstream_keeps_its_rank_for_a_while() {
     let mut upstreams = listed();
-    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, State::Serving));
+    upstreams.record_report(Moment::ZERO, &report(1, 0, 0, UpstreamState::Serving));
     upstreams.apply_vm_list(Moment::ZERO, 2, &[]);
     assert!(!usable(&upstreams, Moment::ZERO));
     assert!(upstreams.remove_unlisted(Moment::from_millis(1_000)).is_empty());
@@ -498,12 +498,12 @@
 quickcheck! {
     fn reports_in_any_order_converge(order: Vec<usize>) -> bool {
         let reports = [
-            report(1, 0, 0, State::Serving),
-            report(1, 0, 1, State::Unreachable),
-            report(1, 0, 2, State::Serving),
-            report(1, 1, 0, State::Draining),
-            report(2, 0, 0, State::Serving),
-            report(2, 1, 0, State::Draining),
+            report(1, 0, 0, UpstreamState::Serving),
+            report(1, 0, 1, UpstreamState::Unreachable),
+            report(1, 0, 2, UpstreamState::Serving),
+            report(1, 1, 0, UpstreamState::Draining),
+            report(2, 0, 0, UpstreamState::Serving),
+            report(2, 1, 0, UpstreamState::Draining),
         ];
         let mut upstreams = listed();
         for index in order {
--- a/crates/stairvale-permit/benches/grant.rs
+++ b/crates/stairvale-permit/benches/grant.rs
@@ -11,14 +11,14 @@
 use sample::profile;
 use stairvale_permit::{Home, rules::Rules};
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Ask, Profile};
+use stairvale_wire::{PermitRequest, Profile};
 
 fn main() {
     divan::main();
 }
 
-fn ask(attempt: u128, engine: usize) -> Ask {
-    Ask {
+fn ask(attempt: u128, engine: usize) -> PermitRequest {
+    PermitRequest {
         attempt: id::Attempt(attempt),
         profile: Profile { returning: false, ..profile() },
         upstream: format!("engine-{engine}").parse().unwrap(),
--- a/crates/stairvale-permit/src/account.rs
+++ b/crates/stairvale-permit/src/account.rs
@@ -7,7 +7,7 @@
 
 use stairvale_admission::{HoldTime, Queue, Shares};
 use stairvale_types::{Moment, id};
-use stairvale_wire::Ask;
+use stairvale_wire::PermitRequest;
 
 /// Time after which a permit that its entry has not renewed expires.
 pub const PERMIT_TTL: Duration = Duration::from_secs(10);
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedRequest {
     pub entry: id::Router,
-    pub ask: Ask,
+    pub ask: PermitRequest,
     /// Whether the entry has no other engine to try; such a request is refused rather than redirected when its wait
     /// ends.
     pub last_resort: bool,
--- a/crates/stairvale-permit/src/asking.rs
+++ b/crates/stairvale-permit/src/asking.rs
@@ -4,7 +4,7 @@
 
 use stairvale_placement::choice;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Ask, Profile};
+use stairvale_wire::{PermitRequest, Profile};
 
 use crate::{
     entry::MAX_PERMIT_REQUESTS,
@@ -77,7 +77,7 @@
     ///
     /// It may wait in the home's queue for as long as the plan permits if the upstream holds the prefix, up to its
     /// deadline as a last resort, and not at all otherwise.
-    pub(crate) fn build_request(&self, now: Moment) -> Ask {
+    pub(crate) fn build_request(&self, now: Moment) -> PermitRequest {
         let remaining = self.deadline.since(now);
         let has_prefix = self.prefix_at.as_ref() == Some(&self.upstream);
         let max_wait = match (self.last_resort, has_prefix) {
@@ -88,7 +88,7 @@
         let first = self.request.candidates.first() == Some(&self.upstream);
         let has_exception = self.prefix_at.as_ref().is_some_and(|at| at != &self.upstream);
         let returning = self.request.profile.returning && !has_exception;
-        Ask {
+        PermitRequest {
             attempt: self.request.attempt,
             upstream: self.upstream.clone(),
             profile: Profile { returning, ..self.request.profile.clone() },
--- a/crates/stairvale-permit/src/decide.rs
+++ b/crates/stairvale-permit/src/decide.rs
@@ -7,7 +7,7 @@
     shares::unreserved_slots,
 };
 use stairvale_types::{Moment, Reason, Refusal, id};
-use stairvale_wire::{Ask, Verdict};
+use stairvale_wire::{PermitRequest, Verdict};
 
 use crate::{
     Account, Home,
@@ -38,7 +38,7 @@
     /// Returns the engine that holds a returning chat's prefix if this home has recorded it as not the requested one.
     ///
     /// Only requests for the chat's first choice are checked.
-    pub(crate) fn find_exception(&self, now: Moment, ask: &Ask) -> Option<id::Upstream> {
+    pub(crate) fn find_exception(&self, now: Moment, ask: &PermitRequest) -> Option<id::Upstream> {
         if !ask.first || !ask.profile.returning {
             return None;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Records the request's customer as competing for the engine.
-    pub(crate) fn record_request(&mut self, now: Moment, ask: &Ask) {
+    pub(crate) fn record_request(&mut self, now: Moment, ask: &PermitRequest) {
         if let Some((_, account)) = self.accounts.get_mut(&ask.upstream) {
             account.record_request(now, &ask.profile.customer, ask.profile.weight);
         }
@@ -143,7 +143,7 @@
 
     /// Removes the exception of a chat that is granted at its first choice, since its prefix is cached there from now
     /// on.
-    pub(crate) fn clear_exception(&mut self, now: Moment, chat: id::Chat, ask: &Ask) {
+    pub(crate) fn clear_exception(&mut self, now: Moment, chat: id::Chat, ask: &PermitRequest) {
         let is_elsewhere = self.exceptions.find(now, chat).is_some_and(|to| to != &ask.upstream);
         if ask.first && is_elsewhere {
             self.exceptions.remove(chat);
@@ -196,7 +196,7 @@
         vec![answer_to(&evicted.value, verdict)]
     }
 
-    pub(crate) fn predict_wait(&self, now: Moment, ask: &Ask) -> Duration {
+    pub(crate) fn predict_wait(&self, now: Moment, ask: &PermitRequest) -> Duration {
         let Some((rules, account)) = self.accounts.get(&ask.upstream) else {
             return Duration::ZERO;
         };
--- a/crates/stairvale-permit/src/entry.rs
+++ b/crates/stairvale-permit/src/entry.rs
@@ -8,7 +8,7 @@
 
 use stairvale_placement::choice;
 use stairvale_types::{Moment, Reason, Refusal, id};
-use stairvale_wire::{Held, Verdict};
+use stairvale_wire::{HeldPermits, Verdict};
 
 use crate::{
     asking::{PendingAttempt, placeholder},
@@ -455,7 +455,7 @@
         }
         self.running.retain(|_, count| *count > 0);
         let list = |upstreams: BTreeMap<id::Upstream, Vec<id::Attempt>>| {
-            let held = upstreams.into_iter().map(|(upstream, attempts)| Held { upstream, attempts });
+            let held = upstreams.into_iter().map(|(upstream, attempts)| HeldPermits { upstream, attempts });
             held.collect()
         };
         homes.into_iter().map(|(to, upstreams)| Effect::Renew { to, held: list(upstreams) }).collect()
--- a/crates/stairvale-permit/src/home.rs
+++ b/crates/stairvale-permit/src/home.rs
@@ -4,7 +4,7 @@
 
 use stairvale_placement::Exceptions;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Ask, Held, Load, Verdict};
+use stairvale_wire::{PermitRequest, HeldPermits, Load, Verdict};
 
 use crate::{
     Account, Mean,
@@ -212,7 +212,7 @@
     /// Handles an entry's request for a permit.
     ///
     /// There is no answer while the request is queued.
-    pub fn request_permit(&mut self, now: Moment, entry: &id::Router, ask: Ask) -> Vec<Answer> {
+    pub fn request_permit(&mut self, now: Moment, entry: &id::Router, ask: PermitRequest) -> Vec<Answer> {
         let upstream = ask.upstream.clone();
         let queued = QueuedRequest { entry: entry.clone(), last_resort: ask.patience >= ask.deadline, ask };
         let Some((_, account)) = self.accounts.get(&upstream) else {
@@ -275,7 +275,7 @@
     }
 
     /// Applies an entry's renewal, which lists all permits that it holds for the engines of this home.
-    pub fn renew(&mut self, now: Moment, entry: &id::Router, held: &[Held]) -> Vec<Answer> {
+    pub fn renew(&mut self, now: Moment, entry: &id::Router, held: &[HeldPermits]) -> Vec<Answer> {
         let mut answers = Vec::new();
         for upstream in self.accounts.keys().cloned().collect::<Vec<_>>() {
             let attempts = held.iter().find(|held| held.upstream == upstream);
--- a/crates/stairvale-permit/src/request.rs
+++ b/crates/stairvale-permit/src/request.rs
@@ -4,7 +4,7 @@
 
 use stairvale_placement::choice;
 use stairvale_types::{Moment, Refusal, id};
-use stairvale_wire::{Ask, Held, Profile, Verdict};
+use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
 
 /// The state of the fleet that an entry depends on.
 pub trait Directory {
@@ -81,7 +81,7 @@
         /// Home that owns the upstream's account.
         to: id::Router,
         /// Permit request to send.
-        ask: Ask,
+        ask: PermitRequest,
     },
     /// Notify a home that an attempt no longer waits there.
     Forget {
@@ -106,7 +106,7 @@
         /// Home that receives the renewal.
         to: id::Router,
         /// All permits held of this home, by upstream.
-        held: Vec<Held>,
+        held: Vec<HeldPermits>,
     },
     /// Notify the home of a chat's first choice that the chat's prefix moves.
     Moved {
--- a/crates/stairvale-permit/tests/entry.rs
+++ b/crates/stairvale-permit/tests/entry.rs
@@ -17,7 +17,7 @@
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Moment, Reason, Refusal, id};
-use stairvale_wire::{Ask, Profile, Verdict};
+use stairvale_wire::{PermitRequest, Profile, Verdict};
 
 /// A fleet of three engines, each with its home and the home's successor.
 struct Fleet {
@@ -62,7 +62,7 @@
     }
 }
 
-fn find_ask(effects: &[Effect]) -> Option<(String, &Ask)> {
+fn find_ask(effects: &[Effect]) -> Option<(String, &PermitRequest)> {
     effects.iter().find_map(|effect| match effect {
         Effect::Ask { to, ask } => Some((to.to_string(), ask)),
         _ => None,
--- a/crates/stairvale-permit/tests/home.rs
+++ b/crates/stairvale-permit/tests/home.rs
@@ -16,7 +16,7 @@
     rules::{Answer, Rules},
 };
 use stairvale_types::{Moment, Reason, id, unit};
-use stairvale_wire::{Ask, Held, Profile, Verdict};
+use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
 
 const SETTLED: Moment = Moment::from_millis(10_000);
 
@@ -47,8 +47,8 @@
     home
 }
 
-fn ask(attempt: u128, engine: &str, patience_ms: u64) -> Ask {
-    Ask {
+fn ask(attempt: u128, engine: &str, patience_ms: u64) -> PermitRequest {
+    PermitRequest {
         attempt: id::Attempt(attempt),
         profile: profile(),
         upstream: upstream(engine),
@@ -59,9 +59,9 @@
 }
 
 /// A request of the given customer for the engine `e0`.
-fn ask_of(attempt: u128, customer: &str, patience_ms: u64) -> Ask {
+fn ask_of(attempt: u128, customer: &str, patience_ms: u64) -> PermitRequest {
     let profile = Profile { customer: customer.parse().unwrap(), ..profile() };
-    Ask { profile, ..ask(attempt, "e0", patience_ms) }
+    PermitRequest { profile, ..ask(attempt, "e0", patience_ms) }
 }
 
 fn sum(outstanding: u64, engines: u32, waiting: u32) -> Sum {
@@ -149,7 +149,7 @@
     assert!(!is_grant(&home.request_permit(early, &router("r"), ask(1, "e0", 0))), "the load is not determined yet");
     home.report_load(early, &upstream("e0"), 3);
     assert!(!is_grant(&home.request_permit(early, &router("r"), ask(2, "e0", 0))), "the engine reports three running requests");
-    let held = vec![Held { upstream: upstream("e0"), attempts: vec![id::Attempt(90), id::Attempt(91)] }];
+    let held = vec![HeldPermits { upstream: upstream("e0"), attempts: vec![id::Attempt(90), id::Attempt(91)] }];
     home.renew(early, &router("r"), &held);
     assert_eq!(home.outstanding(&upstream("e0")), Some(2));
     let settled = Moment::ZERO + SETTLE_TIME;
@@ -220,7 +220,7 @@
     }
     let now = SETTLED + Duration::from_secs(30);
     home.request_permit(now, &router("r"), ask(100, "e0", 0));
-    let urgent = Ask { deadline: Duration::from_millis(100), ..ask(102, "e0", 100) };
+    let urgent = PermitRequest { deadline: Duration::from_millis(100), ..ask(102, "e0", 100) };
     let answers = home.request_permit(now, &router("r"), urgent);
     let [Verdict::Refused(refusal)] = verdicts(&answers)[..] else {
         panic!("{answers:?}");
@@ -250,7 +250,7 @@
     // The other engine was busy, so the entry requests here again and marks that it has received the exception.
     let again = {
         let ask = ask(1, "e0", 0);
-        Ask { profile: Profile { returning: false, ..ask.profile.clone() }, ..ask }
+        PermitRequest { profile: Profile { returning: false, ..ask.profile.clone() }, ..ask }
     };
     assert!(is_grant(&home.request_permit(SETTLED, &router("r"), again)));
     assert_eq!(home.exceptions().0, 0, "the prefix is cached at the first choice from now on");
@@ -329,7 +329,7 @@
                     held.push((answer.attempt.0, answer.upstream.to_string()));
                 }
             }
-            let renewed: Vec<_> = (0..3).map(|n| format!("e{n}")).map(|name| Held {
+            let renewed: Vec<_> = (0..3).map(|n| format!("e{n}")).map(|name| HeldPermits {
                 attempts: held.iter().filter(|(_, at)| at == &name).map(|(a, _)| id::Attempt(*a)).collect(),
                 upstream: upstream(&name),
             }).collect();
--- a/crates/stairvale-permit/tests/spec.rs
+++ b/crates/stairvale-permit/tests/spec.rs
@@ -22,7 +22,7 @@
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Ask, Held, Profile, Verdict};
+use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
 use walk::{Walk, spec_moves};
 
 const ENTRIES: usize = 2;
@@ -77,9 +77,9 @@
 }
 
 enum ToHome {
-    Ask(Ask),
+    Ask(PermitRequest),
     Release(id::Attempt),
-    Register(Vec<Held>),
+    Register(Vec<HeldPermits>),
 }
 
 struct EntryState {
--- a/crates/stairvale-router/src/once.rs
+++ b/crates/stairvale-router/src/once.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use stairvale_control::Input;
 use stairvale_types::{Moment, Reason, Refusal, id};
-use stairvale_wire::{ClaimVerdict, Stored};
+use stairvale_wire::{ClaimVerdict, StoredAnswer};
 
 use crate::{
     Problem, Shared,
@@ -77,7 +77,7 @@
 
     /// Sends the answer to the claim's owner and waits until the owner has recorded it, so that a caller that repeats
     /// the request at any router gets the same answer.
-    async fn settle(&self, stored: Stored) {
+    async fn settle(&self, stored: StoredAnswer) {
         let settled = self.shared.call_control(|reply| Command::Settle(self.key, self.attempt, stored, reply));
         // If the owner doesn't confirm in time, the answer is sent to the caller anyway, since it is complete. A
         // request that repeats the key then gets the outcome `unknown`.
@@ -96,7 +96,7 @@
 /// The answer to a request whose claim was not granted; nothing is run for it.
 enum EarlyAnswer {
     Problem(Problem),
-    Stored(Stored),
+    Stored(StoredAnswer),
 }
 
 /// Runs a request at most once.
@@ -133,7 +133,7 @@
     pending: &mut PendingRequest,
     maybe_sent: &AtomicBool,
     claim: Option<&Claim>,
-) -> Result<(Response<Body>, Stored), Problem> {
+) -> Result<(Response<Body>, StoredAnswer), Problem> {
     let deadline = pending.deadline;
     let work = async {
         let mut refused_before = false;
@@ -193,7 +193,7 @@
     response: Response<Incoming>,
     mut permit: Permit,
     fingerprint: id::Print,
-) -> Result<(Response<Body>, Stored), Problem> {
+) -> Result<(Response<Body>, StoredAnswer), Problem> {
     let (head, body) = response.into_parts();
     let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let Ok(body) = collected else {
@@ -209,9 +209,9 @@
     Ok((response, stored))
 }
 
-fn stored(fingerprint: id::Print, status: StatusCode, headers: &HeaderMap, body: &Bytes) -> Stored {
+fn stored(fingerprint: id::Print, status: StatusCode, headers: &HeaderMap, body: &Bytes) -> StoredAnswer {
     let content_type = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    Stored {
+    StoredAnswer {
         print: fingerprint,
         status: status.as_u16(),
         content_type: content_type.unwrap_or("application/octet-stream").to_owned(),
@@ -233,7 +233,7 @@
 }
 
 /// Repeats the stored answer to an earlier request with the same key.
-fn replay(stored: Stored) -> Result<Response<Body>, Problem> {
+fn replay(stored: StoredAnswer) -> Result<Response<Body>, Problem> {
     let Some(body) = stored.body else {
         return Err(Unknown::AnswerNotStored.into());
     };
--- a/crates/stairvale-router/src/operators.rs
+++ b/crates/stairvale-router/src/operators.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use stairvale_config::{
     Change, Document, Evacuation, Generation, Manifest,
-    document::{MAX_DOCUMENT, key_hash},
+    document::{MAX_DOCUMENT_BYTES, key_hash},
 };
 use stairvale_control::{
     Event, Input,
@@ -297,7 +297,7 @@
 }
 
 async fn read_body(request: Request<Incoming>) -> Result<Bytes, Error> {
-    let body = Limited::new(request.into_body(), MAX_DOCUMENT).collect().await;
+    let body = Limited::new(request.into_body(), MAX_DOCUMENT_BYTES).collect().await;
     body.map(http_body_util::Collected::to_bytes).map_err(|_| Error::Body)
 }
 
--- a/crates/stairvale-router/src/probes.rs
+++ b/crates/stairvale-router/src/probes.rs
@@ -16,7 +16,7 @@
     orders::{Loaded, Order},
 };
 use stairvale_types::id;
-use stairvale_wire::packet::State;
+use stairvale_wire::packet::UpstreamState;
 
 use crate::{Shared, shared::Endpoint};
 
@@ -99,7 +99,7 @@
         let body = response.into_body().collect().await.ok()?.to_bytes();
         self.shared.metrics.count_received(HEAD_BYTES + body.len());
         let status: Status = serde_json::from_slice(&body).ok()?;
-        let state = if status.state == "serving" { State::Serving } else { State::Draining };
+        let state = if status.state == "serving" { UpstreamState::Serving } else { UpstreamState::Draining };
         let model = status.model.zip(status.version).map(|(model, version)| Loaded { model, version });
         Some(ProbeAnswer { boot: status.boot, change: status.change, state, load: status.load, model })
     }
--- a/crates/stairvale-router/src/shared.rs
+++ b/crates/stairvale-router/src/shared.rs
@@ -16,7 +16,7 @@
 use stairvale_membership::upstreams;
 use stairvale_permit::request::Grant;
 use stairvale_types::{Moment, Refusal, id};
-use stairvale_wire::{ClaimVerdict, Stored};
+use stairvale_wire::{ClaimVerdict, StoredAnswer};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::{audit, faults, limit::Limit, metrics::Metrics, settings::Settings};
@@ -102,7 +102,7 @@
     /// Requests a claim on an idempotency key.
     Claim(id::Key, id::Attempt, oneshot::Sender<ClaimVerdict>),
     /// Stores the answer to a claimed request; the reply confirms that the claim's owner has recorded it.
-    Settle(id::Key, id::Attempt, Stored, oneshot::Sender<()>),
+    Settle(id::Key, id::Attempt, StoredAnswer, oneshot::Sender<()>),
     /// Requests the router's state.
     Status(oneshot::Sender<Status>),
     /// Requests the manifest of the configuration in force and the chunks of its document.
--- a/crates/stairvale-serve/src/caller.rs
+++ b/crates/stairvale-serve/src/caller.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use stairvale_link::watch_over;
+use stairvale_link::set_liveness_timeouts;
 use stairvale_types::{Moment, Refusal, outcome::Reason};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -58,7 +58,7 @@
 }
 
 async fn connection<D: Dialect>(shared: Arc<Shared>, dialect: D, tcp: TcpStream) {
-    if watch_over(&tcp, ACK_TIMEOUT).is_err() {
+    if set_liveness_timeouts(&tcp, ACK_TIMEOUT).is_err() {
         return;
     }
     let limits = shared.table.load().document().limits;
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -15,7 +15,7 @@
 use rapidhash::{RapidHashMap, RapidHashSet};
 use stairvale_replica::{State, Subject};
 use stairvale_types::{Moment, Rest, id};
-use stairvale_wire::{Word, packet};
+use stairvale_wire::{UpstreamReport, packet};
 
 use super::{Core, Effect};
 use crate::dialect::Notice;
@@ -131,16 +131,16 @@
     }
 
     /// Handles a peer's update about an upstream.
-    pub(super) fn handle_upstream_update(&mut self, now: Moment, update: &Word) -> Vec<Effect> {
+    pub(super) fn handle_upstream_update(&mut self, now: Moment, update: &UpstreamReport) -> Vec<Effect> {
         match update.state {
-            packet::State::Draining => self.record_leaving(now, &update.upstream),
-            packet::State::Serving | packet::State::Unreachable => Vec::new(),
+            packet::UpstreamState::Draining => self.record_leaving(now, &update.upstream),
+            packet::UpstreamState::Serving | packet::UpstreamState::Unreachable => Vec::new(),
         }
     }
 
     fn spread_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
-        let (boot, state) = (upstream.start().unwrap_or_default(), packet::State::Draining);
-        let effects = self.swim.gossip_report(Word { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
+        let (boot, state) = (upstream.start().unwrap_or_default(), packet::UpstreamState::Draining);
+        let effects = self.swim.gossip_report(UpstreamReport { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
         self.handle_membership(now, effects)
     }
 
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -225,7 +225,7 @@
             match effect {
                 Effect::Frame { to, address, frame } => self.send(&to, address, &frame),
                 Effect::Frames { to, frame } => {
-                    let bytes = Links::<Frame, Inbox>::write(&frame);
+                    let bytes = Links::<Frame, Inbox>::encode(&frame);
                     for (to, address) in to {
                         self.send_written(&to, address, &frame, bytes.clone());
                     }
@@ -320,7 +320,7 @@
     /// Sends a frame to a peer. If it is an ask and the home can't be reached, the request is notified at once
     /// instead of waiting for an answer.
     fn send(&self, to: &id::Router, address: SocketAddr, frame: &Frame) {
-        let sent = self.send_written(to, address, frame, Links::<Frame, Inbox>::write(frame));
+        let sent = self.send_written(to, address, frame, Links::<Frame, Inbox>::encode(frame));
         if let Frame::Ask { ask, .. } = frame
             && let Some(waiter) = self.waiting().get_mut(&ask.attempt)
         {
@@ -335,7 +335,7 @@
     /// encode.
     fn send_written(&self, to: &id::Router, address: SocketAddr, frame: &Frame, bytes: Option<Bytes>) -> bool {
         let size = bytes.as_ref().map_or(0, Bytes::len);
-        let sent = bytes.is_some_and(|bytes| self.links.send_written(to, address, bytes));
+        let sent = bytes.is_some_and(|bytes| self.links.send_encoded(to, address, bytes));
         if sent {
             self.count_to(Kind::Frame(frame.name()), address, size);
         } else {
--- a/crates/stairvale-serve/src/upstream.rs
+++ b/crates/stairvale-serve/src/upstream.rs
@@ -18,7 +18,7 @@
 use hyper::{body::Incoming, client::conn::http1};
 use hyper_util::rt::TokioIo;
 use stairvale_clock::Clock;
-use stairvale_link::watch_over;
+use stairvale_link::set_liveness_timeouts;
 use stairvale_types::{Moment, id};
 use tokio::{net::TcpStream, task::AbortHandle};
 
@@ -230,7 +230,7 @@
 }
 
 async fn handshake(upstream: &id::Upstream, tcp: TcpStream) -> Result<Connection, Fault> {
-    watch_over(&tcp, ACK_TIMEOUT).map_err(|_| Fault::Unreachable)?;
+    set_liveness_timeouts(&tcp, ACK_TIMEOUT).map_err(|_| Fault::Unreachable)?;
     let (sender, connection) =
         http1::Builder::new().handshake(TokioIo::new(tcp)).await.map_err(|_| Fault::Unreachable)?;
     let task = tokio::spawn(async move {
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -188,7 +188,7 @@
     /// Creates a fleet of equally strong routers, spread evenly over the zones, and a store that holds a first configuration and
     /// the given number of ready engines, also spread over the zones.
     pub fn new(routers: usize, zones: usize, engines: usize) -> Self {
-        Self::with_strengths(vec![Member::ALIKE; routers], zones, engines)
+        Self::with_strengths(vec![Member::DEFAULT_STRENGTH; routers], zones, engines)
     }
 
     /// Creates a fleet like [`World::new`], with one router for each of these VM strengths.
--- a/crates/stairvale-wire/benches/frame.rs
+++ b/crates/stairvale-wire/benches/frame.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use stairvale_types::{Class, id};
-use stairvale_wire::{Ask, Frame, Held, Profile, codec};
+use stairvale_wire::{PermitRequest, Frame, HeldPermits, Profile, codec};
 
 fn main() {
     divan::main();
 }
 
 fn ask() -> Frame {
-    Frame::Ask(Ask {
+    Frame::Ask(PermitRequest {
         attempt: id::Attempt(1 << 120),
         profile: Profile {
             service: "assist-llm".parse().unwrap(),
@@ -44,7 +44,7 @@
 #[divan::bench(args = [10, 100, 1_000])]
 fn renew(bencher: divan::Bencher, permits: u128) {
     let attempts = (0..permits).map(|n| id::Attempt(n << 100)).collect();
-    let held = vec![Held { upstream: "regina-a-engine-1".parse().unwrap(), attempts }];
+    let held = vec![HeldPermits { upstream: "regina-a-engine-1".parse().unwrap(), attempts }];
     let frame = Frame::Renew { held };
     bencher.bench(|| codec::encode(&frame).unwrap().len());
 }
--- a/crates/stairvale-wire/src/frame.rs
+++ b/crates/stairvale-wire/src/frame.rs
@@ -6,7 +6,7 @@
 use stairvale_config::{Manifest, chunk::Digest};
 use stairvale_types::{Class, Refusal, id, unit};
 
-use crate::{Vm, Word};
+use crate::{Vm, UpstreamReport};
 
 /// A message on a stream from one router to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
         from: id::Router,
     },
     /// An entry requests a permit from a home.
-    Ask(Ask),
+    Ask(PermitRequest),
     /// An entry cancels a permit request that it no longer waits for.
     Forget {
         /// The upstream whose permit was requested.
@@ -47,7 +47,7 @@
     /// of.
     Renew {
         /// The permits of each upstream.
-        held: Vec<Held>,
+        held: Vec<HeldPermits>,
     },
     /// A home that has just taken over accounts, or has restarted its own, requests a [`Frame::Renew`] with the permits
     /// that the receiver holds from it.
@@ -102,7 +102,7 @@
     FetchWords,
     /// The sender's latest status reports of all upstreams, for a router that has just joined or was partitioned from
     /// the fleet.
-    Words(Vec<Word>),
+    Words(Vec<UpstreamReport>),
     /// An entry requests a claim on an idempotency key from the owner of the key's shard.
     Claim {
         /// The idempotency key.
@@ -126,7 +126,7 @@
         /// The attempt that held the claim.
         attempt: id::Attempt,
         /// The answer, or `None` if the claim is released because no byte of the request was sent.
-        stored: Option<Stored>,
+        stored: Option<StoredAnswer>,
     },
     /// The shard's owner confirms that the outcome of a claimed request is stored.
     Settled {
@@ -221,7 +221,7 @@
 
 /// An entry's request for a permit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The attempt that requests the permit.
     pub attempt: id::Attempt,
     /// The upstream that the permit is for.
@@ -270,7 +270,7 @@
 
 /// The permits that an entry holds for one upstream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldPermits {
     /// The upstream that the permits are for.
     pub upstream: id::Upstream,
     /// The attempts that hold a permit.
@@ -306,7 +306,7 @@
     /// Another attempt holds the claim, and its outcome hasn't been reported yet.
     Running,
     /// A request with this key has run; this is its answer.
-    Ran(Stored),
+    Ran(StoredAnswer),
     /// The shard's record can't be read or written; nothing has run under the requesting attempt.
     Unavailable {
         /// The delay after which a retry may succeed.
@@ -316,7 +316,7 @@
 
 /// The stored answer to a request that ran, which repeats of its key receive.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredAnswer {
     /// The fingerprint of the request that was answered.
     pub print: id::Print,
     /// The answer's HTTP status code.
@@ -330,6 +330,6 @@
 /// The time that engines spend on a prefix of `tokens` tokens: on computing it again, or on transferring it from
 /// another engine, depending on the rate that is given.
 #[must_use]
-pub fn rebuild(tokens: unit::Tokens, us_per_token: u32) -> Duration {
+pub fn token_cost(tokens: unit::Tokens, us_per_token: u32) -> Duration {
     Duration::from_micros(u64::from(tokens.0) * u64::from(us_per_token))
 }
--- a/crates/stairvale-wire/src/packet.rs
+++ b/crates/stairvale-wire/src/packet.rs
@@ -55,7 +55,7 @@
     /// The status of a router.
     Member(Member),
     /// The status of an upstream.
-    Upstream(Word),
+    Upstream(UpstreamReport),
 }
 
 /// The liveness of a router.
@@ -91,13 +91,13 @@
 
 impl Member {
     /// The strength of a whole core, used where all VMs are assumed to be equally fast.
-    pub const ALIKE: u32 = 100;
+    pub const DEFAULT_STRENGTH: u32 = 100;
 }
 
 /// A status report of an upstream. Reports are ordered by the upstream's and its prober's counters rather than by time,
 /// so that clocks needn't agree.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct UpstreamReport {
     /// The upstream that is reported on.
     pub upstream: id::Upstream,
     /// The upstream's own incarnation counter.
@@ -107,10 +107,10 @@
     /// The prober's count of transitions between reachable and unreachable since that change.
     pub reach: u64,
     /// The reported state.
-    pub state: State,
+    pub state: UpstreamState,
 }
 
-impl Word {
+impl UpstreamReport {
     /// The key by which reports of one upstream are ordered: the higher one supersedes the other.
     #[must_use]
     pub fn order(&self) -> (u64, u64, u64) {
@@ -120,7 +120,7 @@
 
 /// The state of an upstream as reported by itself or, if it is unreachable, by its prober.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub enum State {
+pub enum UpstreamState {
     /// The upstream accepts work.
     Serving,
     /// The upstream completes its outstanding requests and accepts no new ones.
--- a/crates/stairvale-wire/tests/codec.rs
+++ b/crates/stairvale-wire/tests/codec.rs
@@ -7,12 +7,12 @@
 
 use quickcheck::{TestResult, quickcheck};
 use stairvale_types::{Class, Reason, Refusal, id};
-use stairvale_wire::{Ask, ClaimVerdict, Frame, Packet, Profile, Stored, Usage, Verdict, codec};
+use stairvale_wire::{PermitRequest, ClaimVerdict, Frame, Packet, Profile, StoredAnswer, Usage, Verdict, codec};
 
 fn frames() -> Vec<Frame> {
     let upstream: id::Upstream = "engine-1".parse().unwrap();
     let attempt = id::Attempt(u128::MAX - 5);
-    let ask = Ask {
+    let ask = PermitRequest {
         attempt,
         profile: Profile {
             service: "chat".parse().unwrap(),
@@ -30,7 +30,7 @@
     let refusal = Refusal::new(Reason::Deadline, Duration::from_millis(1_500));
     let answer = |verdict| Frame::Answer { upstream: upstream.clone(), attempt, verdict };
     let stored =
-        Stored { print: id::Print(1), status: 200, content_type: "text/plain".into(), body: Some("yes".into()) };
+        StoredAnswer { print: id::Print(1), status: 200, content_type: "text/plain".into(), body: Some("yes".into()) };
     vec![
         Frame::Ask(ask),
         answer(Verdict::Granted { outstanding: 4, over_share: true }),
