--- a/crates/stairvale-clock/src/clock.rs
+++ b/crates/stairvale-clock/src/clock.rs
@@ -15,7 +15,7 @@
 /// The deadline passed before the work was done.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the deadline passed")]
-pub struct Late;
+pub struct DeadlinePassed;
 
 /// The shortest difference between the clocks that counts as a suspension. The clocks are read one after the other, so
 /// a pause of the process between the two readings makes them differ by less than this without any suspension.
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// Returns an error if `until` passes before `work` is done.
-    pub async fn before<T>(&self, until: Moment, work: impl Future<Output = T>) -> Result<T, Late> {
+    pub async fn with_deadline<T>(&self, until: Moment, work: impl Future<Output = T>) -> Result<T, DeadlinePassed> {
         let mut work = pin!(work);
         let mut suspensions = self.detected_suspension.subscribe();
         loop {
@@ -80,17 +80,17 @@
                 biased;
                 done = &mut work => return Ok(done),
                 _ = suspensions.changed() => {}
-                () = tokio::time::sleep(remaining) => return Err(Late),
+                () = tokio::time::sleep(remaining) => return Err(DeadlinePassed),
             }
             if self.now() >= until {
-                return tokio::time::timeout(RESUME_GRACE, work).await.map_err(|_| Late);
+                return tokio::time::timeout(RESUME_GRACE, work).await.map_err(|_| DeadlinePassed);
             }
         }
     }
 
     /// Returns for how long the VM was suspended since the last call, if it was; all waits then check their deadlines
     /// again.
-    pub fn notice(&self) -> Option<Duration> {
+    pub fn detect_suspension(&self) -> Option<Duration> {
         let suspended = self.now().since(Moment::ZERO).saturating_sub(self.started_monotonic.elapsed());
         let before = *self.detected_suspension.borrow();
         let span = suspended.checked_sub(before).filter(|span| *span > MIN_SUSPENSION)?;
--- a/crates/stairvale-clock/src/lib.rs
+++ b/crates/stairvale-clock/src/lib.rs
@@ -14,4 +14,4 @@
 
 mod clock;
 
-pub use clock::{Clock, Late};
+pub use clock::{Clock, DeadlinePassed};
--- a/crates/stairvale-clock/tests/clock.rs
+++ b/crates/stairvale-clock/tests/clock.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use stairvale_clock::{Clock, Late};
+use stairvale_clock::{Clock, DeadlinePassed};
 
 #[test]
 fn clock_includes_suspensions() {
@@ -33,9 +33,9 @@
             suspended_clock.suspend(Duration::from_secs(10));
             // In a router, the suspension is detected a moment after it happened.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            assert!(suspended_clock.notice().unwrap() >= Duration::from_secs(9));
+            assert!(suspended_clock.detect_suspension().unwrap() >= Duration::from_secs(9));
         });
-        assert_eq!(clock.before(until, std::future::pending::<()>()).await, Err(Late));
+        assert_eq!(clock.with_deadline(until, std::future::pending::<()>()).await, Err(DeadlinePassed));
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     });
 }
@@ -48,13 +48,13 @@
         let suspended_clock = clock.clone();
         tokio::spawn(async move {
             suspended_clock.suspend(Duration::from_secs(10));
-            suspended_clock.notice();
+            suspended_clock.detect_suspension();
         });
         let work = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
             7
         };
-        assert_eq!(clock.before(clock.now() + Duration::from_secs(60), work).await, Ok(7));
-        assert_eq!(clock.notice(), None, "a suspension is reported only once");
+        assert_eq!(clock.with_deadline(clock.now() + Duration::from_secs(60), work).await, Ok(7));
+        assert_eq!(clock.detect_suspension(), None, "a suspension is reported only once");
     });
 }
--- a/crates/stairvale-router/src/caller.rs
+++ b/crates/stairvale-router/src/caller.rs
@@ -194,7 +194,7 @@
         let permit_request = io::Request {
             attempt,
             profile,
-            prompt: unit::Tokens::guess(body.len()),
+            prompt: unit::Tokens::estimate(body.len()),
             deadline: head.deadline,
             retry: false,
             avoid: Vec::new(),
@@ -318,7 +318,7 @@
         }
         Err(Refusal::new(Reason::NoUpstream, DEFAULT_RETRY_AFTER).into())
     };
-    let result: Result<Result<_, Problem>, _> = shared.clock.before(deadline, work).await;
+    let result: Result<Result<_, Problem>, _> = shared.clock.with_deadline(deadline, work).await;
     result.unwrap_or_else(|_| {
         if maybe_sent.load(Ordering::Relaxed) {
             return Err(Unknown::Deadline.into());
--- a/crates/stairvale-router/src/control.rs
+++ b/crates/stairvale-router/src/control.rs
@@ -65,7 +65,7 @@
         tokio::select! {
             biased;
             _ = ticks.tick() => {
-                if let Some(span) = control.shared.clock.notice() {
+                if let Some(span) = control.shared.clock.detect_suspension() {
                     let ms = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
                     tracing::warn!(ms, "the VM was suspended; what is known is as much older, and so is what is under way");
                 }
--- a/crates/stairvale-router/src/once.rs
+++ b/crates/stairvale-router/src/once.rs
@@ -168,7 +168,7 @@
         }
         Err(no_more_tries(refused_before, Reason::NoUpstream))
     };
-    let result = shared.clock.before(deadline, work).await;
+    let result = shared.clock.with_deadline(deadline, work).await;
     result
         .unwrap_or_else(|_| {
             if maybe_sent.load(Ordering::Relaxed) {
--- a/crates/stairvale-serve/src/caller.rs
+++ b/crates/stairvale-serve/src/caller.rs
@@ -166,7 +166,7 @@
     let limits = table.document().limits;
     let exchange = Exchange::new(shared.clone(), dialect.clone(), route.clone(), service, head, parts, received_at);
     let reading = read_body(body, limits.body_bytes);
-    let body = shared.clock.before(exchange.deadline, reading).await.unwrap_or(Err(Problem::IncompleteBody))?;
+    let body = shared.clock.with_deadline(exchange.deadline, reading).await.unwrap_or(Err(Problem::IncompleteBody))?;
     let exchange = exchange.with_body(body);
     Ok(match customer {
         Some(customer) => exchange.with_customer(customer),
--- a/crates/stairvale-serve/src/control.rs
+++ b/crates/stairvale-serve/src/control.rs
@@ -23,7 +23,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(next) => {
-                if let Some(span) = shared.clock.notice() {
+                if let Some(span) = shared.clock.detect_suspension() {
                     shared.metrics.count("suspended");
                     let ms = millis(span);
                     tracing::warn!(ms, "the VM was suspended; what is known is as much older, and so is what is under way");
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -59,8 +59,8 @@
     pub fn handle_notice(&mut self, now: Moment, service: &id::Service, upstream: &id::Upstream, notice: Notice) -> Vec<Effect> {
         let mut effects = if notice.leaves { self.record_leaving(now, upstream) } else { Vec::new() };
         match notice.rest {
-            Rest::Unasked => {}
-            Rest::Unreadable => effects.push(Effect::Unreadable(upstream.clone())),
+            Rest::NotRequested => {}
+            Rest::Invalid => effects.push(Effect::Unreadable(upstream.clone())),
             Rest::For(length) => {
                 self.notices.rest(service, upstream, now + length);
                 effects.push(Effect::Rests { upstream: upstream.clone(), length });
--- a/crates/stairvale-serve/src/exchange/send.rs
+++ b/crates/stairvale-serve/src/exchange/send.rs
@@ -224,7 +224,7 @@
     ) -> Result<T, Fault> {
         tokio::select! {
             biased;
-            result = self.shared.clock.before(self.attempt_deadline(), work) => {
+            result = self.shared.clock.with_deadline(self.attempt_deadline(), work) => {
                 result.unwrap_or(Err(Fault::Unresponsive))
             }
             () = permit.upstream_replaced() => Err(Fault::Terminated),
--- a/crates/stairvale-serve/src/relay.rs
+++ b/crates/stairvale-serve/src/relay.rs
@@ -173,7 +173,7 @@
             let stall = self.stall_timeout();
             let clock = &self.exchange.shared.clock;
             let chunk = tokio::select! {
-                chunk = clock.before(clock.now() + left.min(stall), next(&mut reply.body)) => chunk,
+                chunk = clock.with_deadline(clock.now() + left.min(stall), next(&mut reply.body)) => chunk,
                 () = self.sender.closed() => return End::Left,
                 () = reply.permit.upstream_replaced() => return End::Ended,
             };
@@ -219,7 +219,7 @@
             return true;
         }
         // A client that reads nothing until the request's deadline counts as disconnected.
-        let sent = self.exchange.shared.clock.before(self.exchange.deadline, self.sender.send(Ok(chunk))).await;
+        let sent = self.exchange.shared.clock.with_deadline(self.exchange.deadline, self.sender.send(Ok(chunk))).await;
         sent.is_ok_and(|sent| sent.is_ok())
     }
 
--- a/crates/stairvale-serve/tests/notices.rs
+++ b/crates/stairvale-serve/tests/notices.rs
@@ -20,7 +20,7 @@
 const SPREAD_MS: u64 = 1_500;
 const ROUTERS: usize = 6;
 /// The notice of an upstream that takes no new requests.
-const LEAVES: Notice = Notice { leaves: true, rest: Rest::Unasked };
+const LEAVES: Notice = Notice { leaves: true, rest: Rest::NotRequested };
 
 fn chat() -> id::Service {
     "chat".parse().unwrap()
--- a/crates/stairvale-types/src/rest.rs
+++ b/crates/stairvale-types/src/rest.rs
@@ -7,11 +7,11 @@
 pub enum Rest {
     /// No pause, or one of zero length, was requested.
     #[default]
-    Unasked,
+    NotRequested,
     /// A pause of this length, at most [`Rest::LONGEST`].
     For(Duration),
     /// The headers have no value that can be parsed.
-    Unreadable,
+    Invalid,
 }
 
 impl Rest {
@@ -23,12 +23,12 @@
     pub fn read<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         let mut values = values.peekable();
         if values.peek().is_none() {
-            return Self::Unasked;
+            return Self::NotRequested;
         }
         let seconds = values.filter_map(|value| value.trim().parse::<f64>().ok());
         match seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0).reduce(f64::max) {
-            None => Self::Unreadable,
-            Some(0.0) => Self::Unasked,
+            None => Self::Invalid,
+            Some(0.0) => Self::NotRequested,
             Some(longest) => Self::For(Duration::from_secs_f64(longest.min(Self::LONGEST.as_secs_f64()))),
         }
     }
--- a/crates/stairvale-types/src/unit.rs
+++ b/crates/stairvale-types/src/unit.rs
@@ -145,7 +145,7 @@
 impl Tokens {
     /// Estimates the number of tokens of a prompt from the size of its text in bytes.
     #[must_use]
-    pub fn guess(bytes: usize) -> Self {
+    pub fn estimate(bytes: usize) -> Self {
         Self(u32::try_from(bytes / BYTES_PER_TOKEN).unwrap_or(u32::MAX))
     }
 }
