--- a/crates/stairvale-admission/tests/admission.rs
+++ b/crates/stairvale-admission/tests/admission.rs
@@ -7,7 +7,7 @@
 
 use quickcheck::quickcheck;
 use stairvale_admission::{
-    RetryBudget, HoldTime, Queue, Shares,
+    HoldTime, Queue, RetryBudget, Shares,
     queue::{AGE_STEP, Full, Item},
     shares::unreserved_slots,
 };
--- a/crates/stairvale-claim/examples/growth.rs
+++ b/crates/stairvale-claim/examples/growth.rs
@@ -9,7 +9,7 @@
     shard::{Effect, Reply},
 };
 use stairvale_types::{Moment, id};
-use stairvale_wire::Stored;
+use stairvale_wire::StoredAnswer;
 
 /// The store's simulated response time.
 const STORE_LATENCY: Duration = Duration::from_millis(2);
@@ -52,8 +52,12 @@
                 Effect::ReadSegment { .. } | Effect::Settled { .. } | Effect::Noted { .. } => continue,
                 Effect::Answer { key, attempt, .. } => {
                     let body = Some("{\"receipt\":\"receipt-0123456789abcdef\"}".into());
-                    let stored =
-                        Stored { print: id::Print(1), status: 200, content_type: "application/json".into(), body };
+                    let stored = StoredAnswer {
+                        print: id::Print(1),
+                        status: 200,
+                        content_type: "application/json".into(),
+                        body,
+                    };
                     let more = shard.settle(now, now.millis(), &entry, key, attempt, Some(stored));
                     assert!(more.is_empty());
                     continue;
--- a/crates/stairvale-claim/src/record.rs
+++ b/crates/stairvale-claim/src/record.rs
@@ -103,7 +103,7 @@
         self.claims.get(&key)
     }
 
-    /// Removes claims and segments that are older than [`KEEP_MS`].
+    /// Removes claims and segments that are older than [`CLAIM_RETENTION_MS`].
     pub fn expire(&mut self, now_ms: u64) {
         self.claims.retain(|_, claim| claim.at_ms.saturating_add(CLAIM_RETENTION_MS) > now_ms);
         self.segments.retain(|segment| segment.newest_ms.saturating_add(CLAIM_RETENTION_MS) > now_ms);
--- a/crates/stairvale-claim/src/shard.rs
+++ b/crates/stairvale-claim/src/shard.rs
@@ -12,7 +12,7 @@
 pub use crate::effect::{Effect, Reply};
 use crate::{
     Record,
-    record::{Claim, Claims, CLAIM_RETENTION_MS, MAX_BODY_BYTES, MAX_RECORD_BYTES, from_text},
+    record::{CLAIM_RETENTION_MS, Claim, Claims, MAX_BODY_BYTES, MAX_RECORD_BYTES, from_text},
     seal::Seal,
     wish::{PendingClaim, Settlement},
 };
@@ -388,7 +388,7 @@
         self.advance(now, now_ms)
     }
 
-    /// Whether all claims of a segment are older than [`KEEP_MS`], or the cached record doesn't refer to it.
+    /// Whether all claims of a segment are older than [`CLAIM_RETENTION_MS`], or the cached record doesn't refer to it.
     fn is_expired(&self, id: &str, now_ms: u64) -> bool {
         let segments = self.cached.iter().flat_map(|(record, _)| &record.segments);
         let segment = segments.into_iter().find(|segment| segment.id == id);
--- a/crates/stairvale-config/src/fault.rs
+++ b/crates/stairvale-config/src/fault.rs
@@ -19,7 +19,7 @@
     /// The text isn't YAML, or doesn't match the schema; the parser's message.
     #[error("{0}")]
     Syntax(String),
-    /// The document, whose size in bytes is given, exceeds [`MAX_DOCUMENT`](crate::document::MAX_DOCUMENT).
+    /// The document, whose size in bytes is given, exceeds [`MAX_DOCUMENT_BYTES`](crate::document::MAX_DOCUMENT_BYTES).
     #[error("document of {0} bytes exceeds the limit of {limit} bytes", limit = crate::document::MAX_DOCUMENT_BYTES)]
     Size(usize),
     /// Two items of one list have this name.
--- a/crates/stairvale-control/src/explain.rs
+++ b/crates/stairvale-control/src/explain.rs
@@ -86,7 +86,9 @@
 
 fn describe(step: &Step) -> String {
     let event = match &step.event {
-        Event::PermitRequested { home, max_wait: patience } if patience.is_zero() => format!("permit requested from its home {home}"),
+        Event::PermitRequested { home, max_wait: patience } if patience.is_zero() => {
+            format!("permit requested from its home {home}")
+        }
         Event::PermitRequested { home, max_wait: patience } => {
             format!("permit requested from its home {home}, waiting up to {} ms", patience.as_millis())
         }
--- a/crates/stairvale-control/src/handlers/configuration.rs
+++ b/crates/stairvale-control/src/handlers/configuration.rs
@@ -59,7 +59,8 @@
 
     pub(crate) fn tick_vms(&mut self, zone: &id::Zone) {
         let due = self.schedule.vms_fetched.is_none_or(|at| self.now.since(at) >= VMS_INTERVAL);
-        let fetches = self.fleet.upstreams.revision() == 0 || self.fleet.zone_owner("vms", zone).as_ref() == Some(&self.me);
+        let fetches =
+            self.fleet.upstreams.revision() == 0 || self.fleet.zone_owner("vms", zone).as_ref() == Some(&self.me);
         if due && fetches {
             self.schedule.vms_fetched = Some(self.now);
             self.outputs.push(Output::FetchVms);
--- a/crates/stairvale-control/src/handlers/frames.rs
+++ b/crates/stairvale-control/src/handlers/frames.rs
@@ -2,7 +2,7 @@
 
 use stairvale_permit::{mean::Sum, rules::Answer as HomeAnswer};
 use stairvale_types::id;
-use stairvale_wire::{PermitRequest, Frame, Verdict};
+use stairvale_wire::{Frame, PermitRequest, Verdict};
 
 use crate::{Node, Output, node::TICK, orders::Loaded};
 
--- a/crates/stairvale-control/src/handlers/members.rs
+++ b/crates/stairvale-control/src/handlers/members.rs
@@ -71,7 +71,8 @@
     }
 
     pub(crate) fn send_statuses(&mut self, to: &id::Router) {
-        let statuses: Vec<_> = self.fleet.upstreams.iter().filter_map(|upstream| upstream.latest_report.clone()).collect();
+        let statuses: Vec<_> =
+            self.fleet.upstreams.iter().filter_map(|upstream| upstream.latest_report.clone()).collect();
         if !statuses.is_empty() {
             self.send(to, Frame::Words(statuses));
         }
--- a/crates/stairvale-control/src/handlers/mod.rs
+++ b/crates/stairvale-control/src/handlers/mod.rs
@@ -24,7 +24,9 @@
             }
             Input::PeerUnreachable(router) => self.peer_unreachable(&router),
             Input::Request(request) => self.request(request),
-            Input::BackOffRequested { upstream, length } => self.fleet.upstreams.set_backoff(self.now, &upstream, length),
+            Input::BackOffRequested { upstream, length } => {
+                self.fleet.upstreams.set_backoff(self.now, &upstream, length)
+            }
             Input::AttemptEnded { attempt, success, unreachable } => self.end(attempt, success, unreachable),
             Input::Claim { key, attempt } => self.claim(key, attempt),
             Input::RateLimitChecked { customer, passed } => self.count_request(&customer, passed),
--- a/crates/stairvale-control/src/handlers/upstreams.rs
+++ b/crates/stairvale-control/src/handlers/upstreams.rs
@@ -93,7 +93,8 @@
     /// Applies a status report of an upstream, from this router's own probe or from a peer, and passes a new one on by
     /// gossip.
     pub(crate) fn apply_status(&mut self, status: &UpstreamReport) {
-        let before = self.fleet.upstream(&status.upstream).and_then(|u| u.latest_report.as_ref().map(|status| status.state));
+        let before =
+            self.fleet.upstream(&status.upstream).and_then(|u| u.latest_report.as_ref().map(|status| status.state));
         if !self.fleet.upstreams.record_report(self.now, status) {
             return;
         }
--- a/crates/stairvale-control/tests/sweep.rs
+++ b/crates/stairvale-control/tests/sweep.rs
@@ -12,7 +12,7 @@
 use stairvale_control::{
     apply::{self, Intent, Machine, Outcome, Step, Submission},
     io::{Action, Answer},
-    sweep::{self, CONFIRM_DELAY, CHUNK_RETENTION, StoreCall},
+    sweep::{self, CHUNK_RETENTION, CONFIRM_DELAY, StoreCall},
 };
 use stairvale_types::Moment;
 use store::Store;
--- a/crates/stairvale-control/tests/world/mod.rs
+++ b/crates/stairvale-control/tests/world/mod.rs
@@ -27,7 +27,7 @@
 use stairvale_control::{
     Input, Node, Output,
     apply::{Intent, Machine, Outcome, Step, Submission},
-    io::{Action, Answer, Call, Purpose, ProbeAnswer, Request},
+    io::{Action, Answer, Call, ProbeAnswer, Purpose, Request},
     node::{Policy, Settings, TICK},
     orders::{Loaded, Order},
 };
--- a/crates/stairvale-dispatch/benches/pool.rs
+++ b/crates/stairvale-dispatch/benches/pool.rs
@@ -145,7 +145,12 @@
     pool.update(Moment(now), &new, &[]);
     let policy = Policy { target, stage, rejected: Vec::new() };
     pool.set_policy(Moment(now), Some(policy));
-    pool.reserve(Reservation { requests: u32::MAX, until: Moment(u64::MAX), upstreams: engines / 30, unrepeatable: false });
+    pool.reserve(Reservation {
+        requests: u32::MAX,
+        until: Moment(u64::MAX),
+        upstreams: engines / 30,
+        unrepeatable: false,
+    });
     bencher.bench_local(|| {
         number += 1;
         now += 1_000_000 / (engines as u64 * 5);
--- a/crates/stairvale-dispatch/src/pool/allowance/reach.rs
+++ b/crates/stairvale-dispatch/src/pool/allowance/reach.rs
@@ -30,7 +30,8 @@
     /// that is sent to an unresponsive upstream fails later than one that is refused at once.
     pub(in crate::pool) fn reaches(&self, member: &Member) -> bool {
         let partitioned = self.partitioned.contains(&&member.zone);
-        let worth_trying = || self.only_partitioned && (!member.health.is_unresponsive() || member.health.is_open(self.now));
+        let worth_trying =
+            || self.only_partitioned && (!member.health.is_unresponsive() || member.health.is_open(self.now));
         member.usable && (!partitioned || worth_trying())
     }
 
--- a/crates/stairvale-dispatch/tests/lives.rs
+++ b/crates/stairvale-dispatch/tests/lives.rs
@@ -51,7 +51,8 @@
 }
 
 fn pool() -> Pool {
-    let rules = Rules { engine: Some(unit::Tokens(100_000)), copies: true, load_multiple: 2.0, load_slack: 3.0, cold: None };
+    let rules =
+        Rules { engine: Some(unit::Tokens(100_000)), copies: true, load_multiple: 2.0, load_slack: 3.0, cold: None };
     let mut pool = Pool::new(rules);
     pool.set_members(at(0), &[listing("e0@1000", 1)]);
     pool
--- a/crates/stairvale-dispatch/tests/parts.rs
+++ b/crates/stairvale-dispatch/tests/parts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use stairvale_dispatch::{Cache, Part, PrefillModel, SentPrefixes, RetryWindow, budget::Budget};
+use stairvale_dispatch::{Cache, Part, PrefillModel, RetryWindow, SentPrefixes, budget::Budget};
 use stairvale_types::{Moment, id};
 
 fn budget() -> Budget {
--- a/crates/stairvale-dispatch/tests/paths.rs
+++ b/crates/stairvale-dispatch/tests/paths.rs
@@ -55,7 +55,8 @@
         version: None,
     };
     let members: Vec<_> = zones.iter().enumerate().map(listing).collect();
-    let rules = Rules { engine: Some(unit::Tokens(400_000)), copies: true, load_multiple: 0.0, load_slack: 3.0, cold: None };
+    let rules =
+        Rules { engine: Some(unit::Tokens(400_000)), copies: true, load_multiple: 0.0, load_slack: 3.0, cold: None };
     let mut pool = Pool::new(rules);
     pool.set_members(at(0), &members);
     let ids: Vec<_> = members.into_iter().map(|listing| listing.id).collect();
--- a/crates/stairvale-dispatch/tests/suspects.rs
+++ b/crates/stairvale-dispatch/tests/suspects.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use stairvale_dispatch::{
     Suspects,
-    suspects::{Evidence, MIN_CRASHES, MAX_CRASHES},
+    suspects::{Evidence, MAX_CRASHES, MIN_CRASHES},
 };
 use stairvale_types::{Moment, id};
 
--- a/crates/stairvale-link/src/lib.rs
+++ b/crates/stairvale-link/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each process opens one `h2` stream to every peer that it sends frames to. A stream carries frames in one direction,
 //! encoded by `stairvale_wire::codec`. [`Links`] sends, [`listen()`] receives; both report to a [`Sink`].
-//! [`watch_over`] sets the time-outs after which an unresponsive TCP connection is closed; it also serves connections
+//! [`set_liveness_timeouts`] sets the time-outs after which an unresponsive TCP connection is closed; it also serves connections
 //! other than these streams.
 //! A frame that can't be sent is dropped, so the sender's protocol has to repeat whatever must arrive.
 //!
--- a/crates/stairvale-link/src/links.rs
+++ b/crates/stairvale-link/src/links.rs
@@ -137,7 +137,7 @@
         Self::encode(frame).is_some_and(|bytes| self.send_encoded(to, address, bytes))
     }
 
-    /// Encodes a frame for [`Self::send_written`]; `None` if it exceeds [`codec::MAX_FRAME`]. A frame that goes to
+    /// Encodes a frame for [`Self::send_encoded`]; `None` if it exceeds [`codec::MAX_FRAME`]. A frame that goes to
     /// several peers is encoded once: all their streams share the buffer, which is freed after the last of them has
     /// sent it.
     #[must_use]
@@ -145,7 +145,7 @@
         codec::encode(frame).ok()
     }
 
-    /// Sends a frame encoded by [`Self::write`], opening a stream if there is none. Returns `false` if the frame was
+    /// Sends a frame encoded by [`Self::encode`], opening a stream if there is none. Returns `false` if the frame was
     /// dropped because the stream to the peer failed less than 100 ms ago.
     pub fn send_encoded(&self, to: &id::Router, address: SocketAddr, bytes: Bytes) -> bool {
         let mut links = self.lock();
--- a/crates/stairvale-membership/src/lib.rs
+++ b/crates/stairvale-membership/src/lib.rs
@@ -15,7 +15,7 @@
 //!     address: "127.0.0.1:7000".parse().unwrap(),
 //!     incarnation: id::Incarnation(1),
 //!     status: Status::Alive,
-//!     strength: Member::ALIKE,
+//!     strength: Member::DEFAULT_STRENGTH,
 //! };
 //! let mut swim = Swim::new(me, Settings::default(), 7);
 //! assert!(swim.tick(Moment::ZERO).is_empty());
--- a/crates/stairvale-membership/src/swim.rs
+++ b/crates/stairvale-membership/src/swim.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{Member, Packet, Status, Update, VERSION, UpstreamReport, packet::Body};
+use stairvale_wire::{Member, Packet, Status, Update, UpstreamReport, VERSION, packet::Body};
 
 mod gossip;
 mod probe;
--- a/crates/stairvale-membership/src/upstreams.rs
+++ b/crates/stairvale-membership/src/upstreams.rs
@@ -4,7 +4,7 @@
 
 use stairvale_types::{Moment, id};
 use stairvale_wire::{
-    Vm, UpstreamReport,
+    UpstreamReport, Vm,
     packet::{Role, UpstreamState},
 };
 
@@ -204,7 +204,8 @@
         if old.is_some_and(|old| report.order() <= old.order()) {
             return false;
         }
-        let returned = old.is_some_and(|old| old.state == UpstreamState::Unreachable) && report.state == UpstreamState::Serving;
+        let returned =
+            old.is_some_and(|old| old.state == UpstreamState::Unreachable) && report.state == UpstreamState::Serving;
         upstream.latest_report = Some(report.clone());
         if returned {
             upstream.decay_flap_penalty(now);
@@ -225,7 +226,13 @@
 
     /// The prober's next report, after the upstream answered with its own counters.
     #[must_use]
-    pub fn reachable_report(&self, name: &id::Upstream, boot: u64, change: u64, state: UpstreamState) -> Option<UpstreamReport> {
+    pub fn reachable_report(
+        &self,
+        name: &id::Upstream,
+        boot: u64,
+        change: u64,
+        state: UpstreamState,
+    ) -> Option<UpstreamReport> {
         let old = self.upstreams.get(name)?.latest_report.as_ref();
         let same = old.filter(|old| (old.boot, old.change) == (boot, change));
         let reach = same.map_or(0, |old| old.reach + u64::from(old.state == UpstreamState::Unreachable));
--- a/crates/stairvale-membership/tests/membership.rs
+++ b/crates/stairvale-membership/tests/membership.rs
@@ -14,7 +14,7 @@
 use stairvale_types::{Moment, id};
 use stairvale_wire as wire;
 use stairvale_wire::{
-    Member, Packet, Status, Vm, UpstreamReport,
+    Member, Packet, Status, UpstreamReport, Vm,
     packet::{Role, UpstreamState},
 };
 
--- a/crates/stairvale-permit/src/decide.rs
+++ b/crates/stairvale-permit/src/decide.rs
@@ -273,8 +273,10 @@
             .filter(|item| item.value.last_resort)
             .filter(|item| {
                 let ask = &item.value.ask;
-                let ahead =
-                    account.queue.count_ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class).min(count);
+                let ahead = account
+                    .queue
+                    .count_ahead(now, &ask.profile.customer, ask.profile.weight, ask.profile.class)
+                    .min(count);
                 let ahead = ahead.saturating_sub(1);
                 now + account.pace.expected_wait(ahead, limit) / 2 > item.expires_at
             })
--- a/crates/stairvale-permit/src/entry.rs
+++ b/crates/stairvale-permit/src/entry.rs
@@ -97,7 +97,12 @@
     /// Starts to request a permit for an attempt.
     ///
     /// The attempt is refused at once if there is no candidate.
-    pub fn request_upstream<D: Directory>(&mut self, now: Moment, directory: &D, request: UpstreamRequest) -> Vec<Effect> {
+    pub fn request_upstream<D: Directory>(
+        &mut self,
+        now: Moment,
+        directory: &D,
+        request: UpstreamRequest,
+    ) -> Vec<Effect> {
         let attempt = request.attempt;
         let deadline = now + request.estimate.deadline;
         let Some(first) = request.candidates.first().cloned() else {
@@ -273,7 +278,12 @@
         let ask = pending.build_request(now);
         pending.answer_deadline = now + ask.patience + PERMIT_REQUEST_TIMEOUT;
         let upstream = pending.upstream.clone();
-        self.record_step(now, attempt, &upstream, Event::PermitRequested { home: home.clone(), max_wait: ask.patience });
+        self.record_step(
+            now,
+            attempt,
+            &upstream,
+            Event::PermitRequested { home: home.clone(), max_wait: ask.patience },
+        );
         vec![Effect::Ask { to: home, ask }]
     }
 
@@ -345,7 +355,8 @@
         let upstream = pending.upstream.clone();
         let running = self.running.get(&upstream).copied().unwrap_or(0);
         let share = directory.share(&upstream);
-        let room = share.is_some_and(|share| running < share.own_slots && running.max(share.reported_load) < share.slots);
+        let room =
+            share.is_some_and(|share| running < share.own_slots && running.max(share.reported_load) < share.slots);
         if !room {
             return self.advance(now, directory, attempt);
         }
--- a/crates/stairvale-permit/src/home.rs
+++ b/crates/stairvale-permit/src/home.rs
@@ -4,7 +4,7 @@
 
 use stairvale_placement::Exceptions;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{PermitRequest, HeldPermits, Load, Verdict};
+use stairvale_wire::{HeldPermits, Load, PermitRequest, Verdict};
 
 use crate::{
     Account, Mean,
--- a/crates/stairvale-permit/src/request.rs
+++ b/crates/stairvale-permit/src/request.rs
@@ -4,7 +4,7 @@
 
 use stairvale_placement::choice;
 use stairvale_types::{Moment, Refusal, id};
-use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
+use stairvale_wire::{HeldPermits, PermitRequest, Profile, Verdict};
 
 /// The state of the fleet that an entry depends on.
 pub trait Directory {
--- a/crates/stairvale-permit/tests/home.rs
+++ b/crates/stairvale-permit/tests/home.rs
@@ -16,7 +16,7 @@
     rules::{Answer, Rules},
 };
 use stairvale_types::{Moment, Reason, id, unit};
-use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
+use stairvale_wire::{HeldPermits, PermitRequest, Profile, Verdict};
 
 const SETTLED: Moment = Moment::from_millis(10_000);
 
@@ -148,7 +148,10 @@
     let early = Moment::from_millis(10);
     assert!(!is_grant(&home.request_permit(early, &router("r"), ask(1, "e0", 0))), "the load is not determined yet");
     home.report_load(early, &upstream("e0"), 3);
-    assert!(!is_grant(&home.request_permit(early, &router("r"), ask(2, "e0", 0))), "the engine reports three running requests");
+    assert!(
+        !is_grant(&home.request_permit(early, &router("r"), ask(2, "e0", 0))),
+        "the engine reports three running requests"
+    );
     let held = vec![HeldPermits { upstream: upstream("e0"), attempts: vec![id::Attempt(90), id::Attempt(91)] }];
     home.renew(early, &router("r"), &held);
     assert_eq!(home.outstanding(&upstream("e0")), Some(2));
@@ -193,7 +196,10 @@
         "the queued request is sent back, to be requested again"
     );
     assert_eq!(home.outstanding(&upstream("e0")), Some(0), "the entries register what they hold");
-    assert!(!is_grant(&home.request_permit(SETTLED, &router("r"), ask(3, "e0", 0))), "the load is not determined any more");
+    assert!(
+        !is_grant(&home.request_permit(SETTLED, &router("r"), ask(3, "e0", 0))),
+        "the load is not determined any more"
+    );
 }
 
 #[test]
@@ -234,7 +240,8 @@
     let mut home = single_engine(2);
     home.request_permit(SETTLED, &router("r"), ask(1, "e0", 0));
     let last_resort = |attempt| ask(attempt, "e0", 10_000);
-    let answers: Vec<_> = (2..10).flat_map(|attempt| home.request_permit(SETTLED, &router("r"), last_resort(attempt))).collect();
+    let answers: Vec<_> =
+        (2..10).flat_map(|attempt| home.request_permit(SETTLED, &router("r"), last_resort(attempt))).collect();
     let refused =
         answers.iter().filter(|answer| matches!(&answer.verdict, Verdict::Refused(r) if r.reason == Reason::Busy));
     assert_eq!(refused.count(), 3, "one more is granted, four are queued, the others are refused at once");
--- a/crates/stairvale-permit/tests/spec.rs
+++ b/crates/stairvale-permit/tests/spec.rs
@@ -22,7 +22,7 @@
 };
 use stairvale_placement::choice::Estimate;
 use stairvale_types::{Moment, id};
-use stairvale_wire::{PermitRequest, HeldPermits, Profile, Verdict};
+use stairvale_wire::{HeldPermits, PermitRequest, Profile, Verdict};
 use walk::{Walk, spec_moves};
 
 const ENTRIES: usize = 2;
--- a/crates/stairvale-placement/tests/placement.rs
+++ b/crates/stairvale-placement/tests/placement.rs
@@ -71,7 +71,8 @@
 #[test]
 fn a_wait_never_takes_longer_than_what_it_saves() {
     let ms = Duration::from_millis;
-    let estimate = Estimate { prefill: ms(200), transfer: Some(ms(40)), max_prefix_wait: ms(300), deadline: ms(10_000) };
+    let estimate =
+        Estimate { prefill: ms(200), transfer: Some(ms(40)), max_prefix_wait: ms(300), deadline: ms(10_000) };
     let by_transfer = plan(estimate);
     assert_eq!(by_transfer.max_wait, ms(40));
     assert!(by_transfer.transfer);
--- a/crates/stairvale-replica/src/view.rs
+++ b/crates/stairvale-replica/src/view.rs
@@ -10,7 +10,7 @@
 use stairvale_types::{Moment, id};
 
 use crate::{
-    Item, StoreUpdate, Revision, Subject, Value,
+    Item, Revision, StoreUpdate, Subject, Value,
     item::{State, Upstream},
     restore::{self, WithheldEntries},
 };
--- a/crates/stairvale-replica/tests/restore.rs
+++ b/crates/stairvale-replica/tests/restore.rs
@@ -9,7 +9,7 @@
 };
 
 use quickcheck::quickcheck;
-use stairvale_replica::{Item, StoreUpdate, Revision, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, Revision, State, StoreUpdate, Subject, Upstream, Value, View};
 use stairvale_rollout::{Cause, Order, Record, Stage};
 use stairvale_table::Document;
 use stairvale_types::{Moment, id};
@@ -133,7 +133,11 @@
 #[test]
 fn an_incarnation_that_ended_does_not_come_back_with_the_store() {
     let mut view = View::default();
-    view.apply_read(at(0), at(0), everything(1, 3, vec![ready("leaves", 1, 1), ready("ends", 1, 2), ready("stays", 1, 3)]));
+    view.apply_read(
+        at(0),
+        at(0),
+        everything(1, 3, vec![ready("leaves", 1, 1), ready("ends", 1, 2), ready("stays", 1, 3)]),
+    );
     let removals = vec![item("leaves", revision(1, 4), Some(State::Draining)), item("ends", revision(1, 5), None)];
     view.apply_read(at(9_000), at(9_000), changes(1, 3, 5, removals));
     let restored = vec![ready("leaves", 2, 1), ready("ends", 2, 2), ready("stays", 2, 3)];
@@ -342,7 +346,10 @@
     assert_eq!(earlier_build.document().unwrap().version, 3);
     assert!(usable(&earlier_build, "u1"));
     let mut started = View::default();
-    assert!(started.apply(StoreUpdate::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }), "the items of a stale read");
+    assert!(
+        started.apply(StoreUpdate::Changes { after: 0, to: 0, items: vec![evacuated(2, 0)] }),
+        "the items of a stale read"
+    );
     assert!(started.apply(view.since(0).unwrap().without_epochs()));
     assert_eq!(started.revision(), 0, "of an unknown epoch");
     assert!(started.apply(view.since(0).unwrap()));
--- a/crates/stairvale-replica/tests/rollouts.rs
+++ b/crates/stairvale-replica/tests/rollouts.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use quickcheck::quickcheck;
-use stairvale_replica::{Item, StoreUpdate, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, State, StoreUpdate, Subject, Upstream, Value, View};
 use stairvale_rollout::{Cause, Order, Record, Stage};
 use stairvale_types::{Moment, id};
 
--- a/crates/stairvale-replica/tests/view.rs
+++ b/crates/stairvale-replica/tests/view.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use stairvale_replica::{Item, StoreUpdate, State, Subject, Upstream, Value, View};
+use stairvale_replica::{Item, State, StoreUpdate, Subject, Upstream, Value, View};
 use stairvale_table::Document;
 use stairvale_types::{Moment, id};
 
--- a/crates/stairvale-rollout/src/steward.rs
+++ b/crates/stairvale-rollout/src/steward.rs
@@ -349,7 +349,12 @@
         }
     }
 
-    fn next_trial_record(&mut self, now: Moment, mut record: Record, fleet: &FleetStatus) -> Option<(Record, Option<Plan>)> {
+    fn next_trial_record(
+        &mut self,
+        now: Moment,
+        mut record: Record,
+        fleet: &FleetStatus,
+    ) -> Option<(Record, Option<Plan>)> {
         if record.granted == 0 && record.serving.is_none() && self.only_new_version.has_held_for(now, Duration::ZERO) {
             if !self.only_new_version.has_held_for(now, SOLE_VERSION_PERIOD) {
                 return None;
--- a/crates/stairvale-rollout/tests/interleavings.rs
+++ b/crates/stairvale-rollout/tests/interleavings.rs
@@ -9,7 +9,8 @@
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use stairvale_rollout::{
-    Answer, Cause, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, RolloutController, Write, Written,
+    Answer, Cause, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, RolloutController, Stage,
+    Step, Write, Written,
 };
 use stairvale_types::{Moment, id};
 use world::{Store, TICK, bounds, order, upstream, version};
--- a/crates/stairvale-rollout/tests/outcomes.rs
+++ b/crates/stairvale-rollout/tests/outcomes.rs
@@ -6,7 +6,9 @@
 
 use std::time::Duration;
 
-use stairvale_rollout::{Admission, Answer, Bounds, Cause, FleetStatus, Policy, Stage, Step, RolloutController, Written};
+use stairvale_rollout::{
+    Admission, Answer, Bounds, Cause, FleetStatus, Policy, RolloutController, Stage, Step, Written,
+};
 use stairvale_types::Moment;
 use world::{Route, Service, TICK, TestRng, bounds, healthy, order, version};
 
--- a/crates/stairvale-rollout/tests/world/mod.rs
+++ b/crates/stairvale-rollout/tests/world/mod.rs
@@ -7,8 +7,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use stairvale_rollout::{
-    Answer, Bounds, Event, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, Stage, Step, RolloutController, Write,
-    Written,
+    Answer, Bounds, Event, FleetStatus, Observation, Order, Policy, Record, Report, Reservation, RolloutController,
+    Stage, Step, Write, Written,
 };
 use stairvale_types::{Moment, id};
 
@@ -135,7 +135,8 @@
 
 impl Service {
     pub fn new(old: usize, new: usize, routes: Vec<Route>, behaviour: Behaviour, seed: u64) -> Self {
-        let fleet = FleetStatus { ready_new: new, ready_old: old, serving: Some(version("v1")), ..FleetStatus::default() };
+        let fleet =
+            FleetStatus { ready_new: new, ready_old: old, serving: Some(version("v1")), ..FleetStatus::default() };
         Self {
             now: Moment::from_millis(1_000),
             store: Store::default(),
@@ -185,7 +186,8 @@
     pub fn kill(&mut self) {
         let next_router_number = self.next_router_number;
         self.next_router_number += 1;
-        let next = RolloutController::new(format!("r{next_router_number}").parse().unwrap(), "app".parse().unwrap(), bounds());
+        let next =
+            RolloutController::new(format!("r{next_router_number}").parse().unwrap(), "app".parse().unwrap(), bounds());
         self.controller = std::mem::replace(&mut self.successor, next);
         self.reservation = None;
         self.in_flight = None;
--- a/crates/stairvale-rollout/tests/writes.rs
+++ b/crates/stairvale-rollout/tests/writes.rs
@@ -7,7 +7,9 @@
 
 use std::time::Duration;
 
-use stairvale_rollout::{FleetStatus, Order, Record, Report, Reservation, Stage, Step, RolloutController, Write, Written};
+use stairvale_rollout::{
+    FleetStatus, Order, Record, Report, Reservation, RolloutController, Stage, Step, Write, Written,
+};
 use stairvale_types::Moment;
 use world::{Store, TICK, bounds, order, version};
 
--- a/crates/stairvale-serve/src/core/epochs.rs
+++ b/crates/stairvale-serve/src/core/epochs.rs
@@ -3,7 +3,7 @@
 //! Such a build orders changes by the store's own numbers, so it is sent these. What it sends of the store is ignored
 //! once this router has read an epoch itself, since nothing shows which epoch it belongs to.
 
-use stairvale_replica::{StoreUpdate, Revision};
+use stairvale_replica::{Revision, StoreUpdate};
 use stairvale_rollout::{Write, Written};
 use stairvale_types::id;
 
--- a/crates/stairvale-serve/src/core/freshness.rs
+++ b/crates/stairvale-serve/src/core/freshness.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use stairvale_placement::{mix, pick};
-use stairvale_replica::{Item, StoreUpdate, Revision};
+use stairvale_replica::{Item, Revision, StoreUpdate};
 use stairvale_types::{Moment, id};
 use stairvale_wire::Member;
 
@@ -221,8 +221,9 @@
         let after = sync.after.map(|after| self.in_own_epoch(after));
         let news = after.and_then(|after| self.view.since(after));
         let has_copy = after.is_some_and(|after| Revision::from(after).number() > 0);
-        let news =
-            news.filter(|news| matches!(news, StoreUpdate::Changes { .. }) || !has_copy || self.may_send_snapshot(now, from));
+        let news = news.filter(|news| {
+            matches!(news, StoreUpdate::Changes { .. }) || !has_copy || self.may_send_snapshot(now, from)
+        });
         let lacks_members = sync.routers.is_some_and(|known| known + known / MISSING_MEMBERS_DIVISOR < self.routers());
         let (news, revision) = if self.knows_epochs(from) {
             (news, self.view.revision())
--- a/crates/stairvale-serve/src/core/home.rs
+++ b/crates/stairvale-serve/src/core/home.rs
@@ -100,7 +100,12 @@
     }
 
     /// Handles an engine's report of the prompt prefixes that it holds.
-    pub fn record_inventory(&mut self, service: &id::Service, upstream: &id::Upstream, parts: Vec<Part>) -> Vec<Effect> {
+    pub fn record_inventory(
+        &mut self,
+        service: &id::Service,
+        upstream: &id::Upstream,
+        parts: Vec<Part>,
+    ) -> Vec<Effect> {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.learn_prefixes(upstream, &parts);
         }
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use stairvale_dispatch::{Held, Pool, SentPrefixes, RetryWindow};
+use stairvale_dispatch::{Held, Pool, RetryWindow, SentPrefixes};
 use stairvale_membership::{Swim, swim};
 use stairvale_replica::{StoreUpdate, Upstream, View};
 use stairvale_table::Table;
--- a/crates/stairvale-serve/src/core/notices.rs
+++ b/crates/stairvale-serve/src/core/notices.rs
@@ -56,7 +56,13 @@
 
 impl Core {
     /// Handles the notice in an upstream's answer to this router.
-    pub fn handle_notice(&mut self, now: Moment, service: &id::Service, upstream: &id::Upstream, notice: Notice) -> Vec<Effect> {
+    pub fn handle_notice(
+        &mut self,
+        now: Moment,
+        service: &id::Service,
+        upstream: &id::Upstream,
+        notice: Notice,
+    ) -> Vec<Effect> {
         let mut effects = if notice.leaves { self.record_leaving(now, upstream) } else { Vec::new() };
         match notice.rest {
             Rest::NotRequested => {}
@@ -97,7 +103,12 @@
     /// The time until the first upstream of a service takes work from this router again, if all usable ones in the
     /// given zones rest. A request that only they could serve is best refused at once, with this time.
     #[must_use]
-    pub fn time_until_usable(&self, now: Moment, service: &id::Service, zones: Option<&[id::Zone]>) -> Option<Duration> {
+    pub fn time_until_usable(
+        &self,
+        now: Moment,
+        service: &id::Service,
+        zones: Option<&[id::Zone]>,
+    ) -> Option<Duration> {
         self.notices.resting(now, service).next()?;
         let members = self.pools.get(service)?.members();
         let allowed = members.filter(|member| zones.is_none_or(|zones| zones.contains(&member.zone)));
@@ -140,7 +151,8 @@
 
     fn spread_leaving(&mut self, now: Moment, upstream: &id::Upstream) -> Vec<Effect> {
         let (boot, state) = (upstream.start().unwrap_or_default(), packet::UpstreamState::Draining);
-        let effects = self.swim.gossip_report(UpstreamReport { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
+        let effects =
+            self.swim.gossip_report(UpstreamReport { upstream: upstream.clone(), boot, change: 0, reach: 0, state });
         self.handle_membership(now, effects)
     }
 
--- a/crates/stairvale-serve/src/core/rollouts.rs
+++ b/crates/stairvale-serve/src/core/rollouts.rs
@@ -7,14 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stairvale_replica::{Revision, Subject};
-use stairvale_rollout::{Admission, Cause, Policy, Reservation, Stage, Step, RolloutController, Write, Written};
+use stairvale_rollout::{Admission, Cause, Policy, Reservation, RolloutController, Stage, Step, Write, Written};
 use stairvale_types::{Moment, id};
 
 use super::{Core, Effect, writing::Writing};
 use crate::frame::Frame;
 
 /// The reservation of a pool whose router isn't the home.
-const EMPTY_RESERVATION: Reservation = Reservation { requests: 0, until: Moment::ZERO, upstreams: 1, unrepeatable: false };
+const EMPTY_RESERVATION: Reservation =
+    Reservation { requests: 0, until: Moment::ZERO, upstreams: 1, unrepeatable: false };
 
 /// Maximum number of services for which a rejected version is remembered before the store shows it: several times the
 /// number of roll-outs that a fleet runs at once.
@@ -232,7 +233,8 @@
     /// be unavailable.
     fn reject_version(&mut self, service: &id::Service) -> Vec<Effect> {
         // The rejection concerns the order itself: a later order may carry the same version name after a fix.
-        let Some(order) = self.rollouts.services.get(service).and_then(|rollout| rollout.controller.rejected_order()) else {
+        let Some(order) = self.rollouts.services.get(service).and_then(|rollout| rollout.controller.rejected_order())
+        else {
             return Vec::new();
         };
         if self.rollouts.rejected_orders.get(service).is_some_and(|rejected| *rejected >= order) {
--- a/crates/stairvale-serve/src/exchange/send.rs
+++ b/crates/stairvale-serve/src/exchange/send.rs
@@ -13,7 +13,7 @@
 use super::{Exchange, UpstreamResponse, millis};
 use crate::{
     Dialect,
-    dialect::{ResponseKind, Order},
+    dialect::{Order, ResponseKind},
     hop::strip,
     permit::{self, Permit, PermitRequest},
     problem::Problem,
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -270,7 +270,9 @@
                     tracing::info!(%zone, upstreams, "{what}");
                 }
                 Effect::Write(write) => self.record(PendingWrite { write, peer: None }),
-                Effect::WriteFor { peer, number, write } => self.record(PendingWrite { write, peer: Some((peer, number)) }),
+                Effect::WriteFor { peer, number, write } => {
+                    self.record(PendingWrite { write, peer: Some((peer, number)) })
+                }
                 Effect::Stage { service, policy, record } => {
                     rollouts::log(&service, &policy, record.as_deref());
                 }
--- a/crates/stairvale-serve/src/source.rs
+++ b/crates/stairvale-serve/src/source.rs
@@ -2,7 +2,7 @@
 
 use std::{future::Future, time::Duration};
 
-use stairvale_replica::{Item, StoreUpdate, Router};
+use stairvale_replica::{Item, Router, StoreUpdate};
 use stairvale_rollout::{Write, Written};
 use stairvale_types::id;
 
@@ -38,9 +38,12 @@
     pub fn write_outcome(self) -> Written {
         match self {
             Self::Refused => Written::Refused,
-            Self::Compacted | Self::Interrupted | Self::Unresponsive | Self::Malformed | Self::LeaseExpired | Self::StaleResponse => {
-                Written::Unknown
-            }
+            Self::Compacted
+            | Self::Interrupted
+            | Self::Unresponsive
+            | Self::Malformed
+            | Self::LeaseExpired
+            | Self::StaleResponse => Written::Unknown,
         }
     }
 }
--- a/crates/stairvale-serve/src/watch.rs
+++ b/crates/stairvale-serve/src/watch.rs
@@ -95,7 +95,12 @@
             Fault::Compacted => compacted = true,
             // A long poll may be interrupted without a fault; two interruptions in a row count as one.
             Fault::Interrupted if !interrupted => interrupted = true,
-            Fault::Interrupted | Fault::Refused | Fault::Unresponsive | Fault::Malformed | Fault::LeaseExpired | Fault::StaleResponse => {
+            Fault::Interrupted
+            | Fault::Refused
+            | Fault::Unresponsive
+            | Fault::Malformed
+            | Fault::LeaseExpired
+            | Fault::StaleResponse => {
                 if delay == INITIAL_BACKOFF {
                     tracing::info!(%fault, "the store fails");
                 }
@@ -119,8 +124,14 @@
     let mut delay = REGISTRATION_POLL_INTERVAL;
     loop {
         tokio::time::sleep(delay).await;
-        let (is_reader, due, all, settle_time) =
-            shared.query(|core, now| (core.is_reader(now), core.registration_changes(now), core.current_registrations(), core.registration_delay()));
+        let (is_reader, due, all, settle_time) = shared.query(|core, now| {
+            (
+                core.is_reader(now),
+                core.registration_changes(now),
+                core.current_registrations(),
+                core.registration_delay(),
+            )
+        });
         if !is_reader {
             (registrar.reader_since, registrar.due_since, delay) = (None, None, REGISTRATION_POLL_INTERVAL);
             continue;
@@ -151,7 +162,13 @@
 impl<S: Source> Registrar<S> {
     /// Writes due changes, renews the lease, or takes over all registrations. Returns whether registrations were
     /// written.
-    async fn maintain(&mut self, now: Moment, due: Registrations, all: Registrations, settle_time: Duration) -> Result<bool, Fault> {
+    async fn maintain(
+        &mut self,
+        now: Moment,
+        due: Registrations,
+        all: Registrations,
+        settle_time: Duration,
+    ) -> Result<bool, Fault> {
         let reader_since = *self.reader_since.get_or_insert(now);
         if due.is_empty() {
             self.due_since = None;
--- a/crates/stairvale-serve/tests/world/mod.rs
+++ b/crates/stairvale-serve/tests/world/mod.rs
@@ -16,7 +16,7 @@
 };
 
 use stairvale_dispatch::{Ask, Held, Outcome, Part, Verdict};
-use stairvale_replica::{Item, StoreUpdate, Revision, Router, State, Subject, Upstream, Value};
+use stairvale_replica::{Item, Revision, Router, State, StoreUpdate, Subject, Upstream, Value};
 use stairvale_serve::{
     core::{Core, Effect, Reading, Reply},
     frame::Frame,
@@ -468,7 +468,8 @@
         let revision_held = node.core.view().revision();
         if call.reading == Reading::Names {
             node.call = None;
-            let (StoreUpdate::Changes { items, .. } | StoreUpdate::Everything { items, .. }) = self.stale_snapshot(index);
+            let (StoreUpdate::Changes { items, .. } | StoreUpdate::Everything { items, .. }) =
+                self.stale_snapshot(index);
             let names = items.into_iter().filter(|item| matches!(item.subject, Subject::Router(_))).collect();
             let now = self.local_time(index);
             let effects = self.nodes[index].core.read_registrations(now, names);
--- a/crates/stairvale-wire/benches/frame.rs
+++ b/crates/stairvale-wire/benches/frame.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stairvale_types::{Class, id};
-use stairvale_wire::{PermitRequest, Frame, HeldPermits, Profile, codec};
+use stairvale_wire::{Frame, HeldPermits, PermitRequest, Profile, codec};
 
 fn main() {
     divan::main();
--- a/crates/stairvale-wire/src/frame.rs
+++ b/crates/stairvale-wire/src/frame.rs
@@ -6,7 +6,7 @@
 use stairvale_config::{Manifest, chunk::Digest};
 use stairvale_types::{Class, Refusal, id, unit};
 
-use crate::{Vm, UpstreamReport};
+use crate::{UpstreamReport, Vm};
 
 /// A message on a stream from one router to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/stairvale-wire/src/lib.rs
+++ b/crates/stairvale-wire/src/lib.rs
@@ -14,8 +14,8 @@
 pub mod frame;
 pub mod packet;
 
-pub use frame::{PermitRequest, ClaimVerdict, Frame, HeldPermits, Load, Profile, StoredAnswer, Usage, Verdict};
-pub use packet::{Member, Packet, Status, Update, Vm, UpstreamReport};
+pub use frame::{ClaimVerdict, Frame, HeldPermits, Load, PermitRequest, Profile, StoredAnswer, Usage, Verdict};
+pub use packet::{Member, Packet, Status, Update, UpstreamReport, Vm};
 
 /// The protocol version of frames and packets; a router rejects peers of any other version.
 pub const VERSION: u16 = 6;
--- a/crates/stairvale-wire/tests/codec.rs
+++ b/crates/stairvale-wire/tests/codec.rs
@@ -7,7 +7,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use stairvale_types::{Class, Reason, Refusal, id};
-use stairvale_wire::{PermitRequest, ClaimVerdict, Frame, Packet, Profile, StoredAnswer, Usage, Verdict, codec};
+use stairvale_wire::{ClaimVerdict, Frame, Packet, PermitRequest, Profile, StoredAnswer, Usage, Verdict, codec};
 
 fn frames() -> Vec<Frame> {
     let upstream: id::Upstream = "engine-1".parse().unwrap();
