--- a/crates/stairvale-standin/src/batch.rs
+++ b/crates/stairvale-standin/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: each step gives every running stream a token and prefills a chunk of what waits.
+//! Continuous batching: each step decodes one token of every running stream and prefills a chunk of pending prompts.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -7,63 +7,63 @@
 
 use crate::{cache::Cache, text};
 
-/// How fast an engine is.
+/// The simulated speed and concurrency of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// A step without prefill.
+    /// The duration of a step that prefills nothing.
     pub step: Duration,
-    /// What one prefilled token adds to a step.
-    pub prefill: Duration,
-    /// Tokens prefilled in one step at the most.
-    pub chunk: u32,
-    /// Streams that decode at once.
+    /// The time that each prefilled token adds to a step.
+    pub prefill_per_token: Duration,
+    /// The maximum number of tokens prefilled in one step.
+    pub chunk_tokens: u32,
+    /// The maximum number of streams in the running batch.
     pub slots: usize,
 }
 
-/// A request as the batch knows it.
+/// A generation request in the batch.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The router's attempt id.
     pub attempt: String,
-    /// What the answer is a function of.
+    /// The text of the last message, which determines the generated answer.
     pub prompt: String,
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate.
+    /// The number of tokens to generate.
     pub max_tokens: usize,
-    /// The chat, if any.
+    /// The chat whose cached prefix the request may reuse, if it belongs to one.
     pub chat: Option<String>,
-    /// Zero is the most urgent.
+    /// The priority class; 0 is the most urgent.
     pub class: u8,
 }
 
-/// A stream's state.
+/// The state of one generated stream.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The request.
+    /// The request that the stream answers.
     pub job: Job,
-    /// Tokens of the prompt that were found in the cache.
+    /// The number of prompt tokens that were found in the prefix cache.
     pub cached: u32,
-    /// Tokens generated so far.
+    /// The number of tokens generated so far.
     pub generated: usize,
-    /// Whether it ended.
+    /// Whether all tokens were generated or the stream was cancelled.
     pub done: bool,
-    /// Whether somebody reads it.
+    /// The number of connected readers.
     pub readers: usize,
-    /// Since when nobody does.
-    pub orphaned: Option<Instant>,
+    /// When the last reader disconnected; `None` while there are readers.
+    pub orphaned_since: Option<Instant>,
     to_prefill: u32,
 }
 
-/// A stream that nobody reads for this long is given up.
-const ORPHAN: Duration = Duration::from_secs(2);
-/// A whole stream stays this long, so that its end can be fetched again.
-const KEEP: Duration = Duration::from_secs(5);
+/// An unfinished stream without readers is cancelled after this time.
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(2);
+/// A finished stream is retained this long so that a reader can resume it and fetch its end again.
+const FINISHED_RETENTION: Duration = Duration::from_secs(5);
 
-/// All streams of an engine.
+/// All streams of an engine: waiting, running and recently finished.
 #[derive(Debug)]
 pub struct Batch {
-    /// The prefix cache.
+    /// The engine's prefix cache.
     pub cache: Cache,
     streams: HashMap<String, Stream>,
     waiting: VecDeque<String>,
@@ -73,7 +73,7 @@
 }
 
 impl Batch {
-    /// A batch without streams.
+    /// Creates a batch without streams.
     #[must_use]
     pub fn new(speed: Speed, cache: Cache) -> Self {
         Self {
@@ -86,35 +86,35 @@
         }
     }
 
-    /// Requests that run or wait.
+    /// Returns the number of running and waiting requests.
     #[must_use]
     pub fn load(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// A stream.
+    /// Returns the stream of an attempt.
     #[must_use]
     pub fn get(&self, attempt: &str) -> Option<&Stream> {
         self.streams.get(attempt)
     }
 
-    /// A stream, to change it.
+    /// Returns the stream of an attempt for modification.
     pub fn get_mut(&mut self, attempt: &str) -> Option<&mut Stream> {
         self.streams.get_mut(attempt)
     }
 
-    /// Takes a request; returns how many of its prompt's tokens are cached.
+    /// Queues a request and returns the number of its prompt tokens that are cached.
     pub fn add(&mut self, job: Job) -> u32 {
         let cached = job.chat.as_ref().map_or(0, |chat| self.cache.get(chat)).min(job.prompt_tokens);
         let attempt = job.attempt.clone();
         let to_prefill = job.prompt_tokens - cached;
-        let stream = Stream { job, cached, generated: 0, done: false, readers: 0, orphaned: None, to_prefill };
+        let stream = Stream { job, cached, generated: 0, done: false, readers: 0, orphaned_since: None, to_prefill };
         self.streams.insert(attempt.clone(), stream);
         self.waiting.push_back(attempt);
         cached
     }
 
-    /// Gives a stream up.
+    /// Cancels and removes the stream of an attempt.
     pub fn cancel(&mut self, attempt: &str) {
         self.waiting.retain(|other| other != attempt);
         self.running.retain(|other| other != attempt);
@@ -124,20 +124,20 @@
         self.streams.remove(attempt);
     }
 
-    /// One step; returns how long it takes.
+    /// Runs one step and returns its simulated duration.
     pub fn step(&mut self) -> Duration {
         self.sweep();
         self.decode();
         self.admit();
         let prefilled = self.prefill();
-        self.speed.step + self.speed.prefill * prefilled
+        self.speed.step + self.speed.prefill_per_token * prefilled
     }
 
     // ------------------------------------------------------------------------
 
-    /// Every running stream whose prompt is prefilled gets a token.
+    /// Generates one token for every running stream whose prompt is fully prefilled.
     fn decode(&mut self) {
-        let mut ended = Vec::new();
+        let mut finished = Vec::new();
         for attempt in &self.running {
             let Some(stream) = self.streams.get_mut(attempt) else {
                 continue;
@@ -148,10 +148,10 @@
             stream.generated += 1;
             if stream.generated >= stream.job.max_tokens {
                 stream.done = true;
-                ended.push(attempt.clone());
+                finished.push(attempt.clone());
             }
         }
-        for attempt in ended {
+        for attempt in finished {
             self.finish(&attempt);
         }
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The most urgent of those who wait come in while there are slots.
+    /// Moves waiting requests into free slots, the most urgent class first.
     fn admit(&mut self) {
         while self.running.len() < self.speed.slots {
             let class = |attempt: &String| self.streams.get(attempt).map_or(u8::MAX, |stream| stream.job.class);
@@ -181,9 +181,9 @@
         }
     }
 
-    /// A chunk of prompts is prefilled, the most urgent first.
+    /// Prefills up to one chunk of tokens, the most urgent streams first, and returns the number of tokens prefilled.
     fn prefill(&mut self) -> u32 {
-        let mut left = self.speed.chunk;
+        let mut budget = self.speed.chunk_tokens;
         let class = |attempt: &String| self.streams.get(attempt).map_or(u8::MAX, |stream| stream.job.class);
         let mut order: Vec<_> = self.running.clone();
         order.sort_by_key(class);
@@ -191,22 +191,24 @@
             let Some(stream) = self.streams.get_mut(&attempt) else {
                 continue;
             };
-            let part = stream.to_prefill.min(left);
-            stream.to_prefill -= part;
-            left -= part;
+            let tokens = stream.to_prefill.min(budget);
+            stream.to_prefill -= tokens;
+            budget -= tokens;
         }
-        self.speed.chunk - left
+        self.speed.chunk_tokens - budget
     }
 
-    /// Gives up what nobody reads, and forgets what ended a while ago.
+    /// Cancels streams that have been without readers for `ORPHAN_TIMEOUT`, and removes finished streams after
+    /// `FINISHED_RETENTION`.
     fn sweep(&mut self) {
-        let orphaned =
-            |stream: &&Stream| stream.orphaned.is_some_and(|since| since.elapsed() >= ORPHAN) && !stream.done;
+        let orphaned = |stream: &&Stream| {
+            stream.orphaned_since.is_some_and(|since| since.elapsed() >= ORPHAN_TIMEOUT) && !stream.done
+        };
         let orphans: Vec<_> = self.streams.values().filter(orphaned).map(|stream| stream.job.attempt.clone()).collect();
         for attempt in orphans {
             self.cancel(&attempt);
         }
-        while self.finished.front().is_some_and(|(at, _)| at.elapsed() >= KEEP) {
+        while self.finished.front().is_some_and(|(at, _)| at.elapsed() >= FINISHED_RETENTION) {
             if let Some((_, attempt)) = self.finished.pop_front() {
                 self.streams.remove(&attempt);
             }
@@ -215,7 +217,8 @@
 }
 
 impl Stream {
-    /// The server-sent event at a position, from 1; the one after the last token is the end marker.
+    /// Returns the server-sent event at a position, counted from 1, or `None` if it was not generated yet. The event after
+    /// the last token is the end marker.
     #[must_use]
     pub fn event(&self, position: usize) -> Option<String> {
         if position <= self.generated {
--- a/crates/stairvale-standin/src/bin/stairvale-standin.rs
+++ b/crates/stairvale-standin/src/bin/stairvale-standin.rs
@@ -1,4 +1,4 @@
-//! `stairvale-standin`: the platform, an engine or a plain service, for tests and trials.
+//! `stairvale-standin`: the platform, an engine or a plain service, for tests and local measurements.
 
 use std::process::ExitCode;
 
@@ -10,11 +10,11 @@
     /// print this help
     help: bool,
     #[options(command)]
-    part: Option<Part>,
+    part: Option<Command>,
 }
 
 #[derive(Debug, Options)]
-enum Part {
+enum Command {
     /// the platform's key-value service and list of VMs
     Platform(platform::Arguments),
     /// a model engine
@@ -27,9 +27,9 @@
 async fn main() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
     let result = match arguments.part {
-        Some(Part::Platform(arguments)) => platform::run(arguments).await,
-        Some(Part::Engine(arguments)) => engine::run(arguments).await,
-        Some(Part::Service(arguments)) => service::run(arguments).await,
+        Some(Command::Platform(arguments)) => platform::run(arguments).await,
+        Some(Command::Engine(arguments)) => engine::run(arguments).await,
+        Some(Command::Service(arguments)) => service::run(arguments).await,
         None => return usage(),
     };
     match result {
--- a/crates/stairvale-standin/src/cache.rs
+++ b/crates/stairvale-standin/src/cache.rs
@@ -1,21 +1,21 @@
-//! An engine's prefix cache: chats in limited memory, the least recently used given up first.
+//! An engine's prefix cache: a bounded number of tokens over all chats, with least-recently-used eviction.
 
 use std::collections::{HashMap, VecDeque};
 
 use serde::Serialize;
 
-/// Something that happened to a cached prefix.
+/// A change of a cached prefix.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Its number; numbers that are missing were lost.
+    /// The sequence number; a gap in the numbers means that events were lost.
     pub number: u64,
-    /// The chat.
+    /// The chat whose prefix changed.
     pub chat: String,
-    /// Tokens cached now; zero if it was evicted.
+    /// The number of tokens cached after the change; zero if the prefix was evicted.
     pub tokens: u32,
 }
 
-/// The cache.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Debug)]
 pub struct Cache {
     capacity: u64,
@@ -27,13 +27,13 @@
     number: u64,
 }
 
-/// Events kept for those who ask.
+/// The number of recent events retained for readers.
 const MAX_EVENTS: usize = 10_000;
-/// One event in this many is lost.
-const GAP: u64 = 16;
+/// Every event whose number is a multiple of this is dropped, so that readers are tested with gaps.
+const EVENT_LOSS_INTERVAL: u64 = 16;
 
 impl Cache {
-    /// An empty cache of so many tokens.
+    /// Creates an empty cache with a capacity in tokens.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self {
@@ -47,29 +47,29 @@
         }
     }
 
-    /// Tokens cached for a chat; zero if none.
+    /// Returns the number of tokens cached for a chat; zero if there are none.
     #[must_use]
     pub fn get(&self, chat: &str) -> u32 {
         self.chats.get(chat).map_or(0, |(tokens, _)| *tokens)
     }
 
-    /// Tokens cached in all.
+    /// Returns the number of tokens cached over all chats.
     #[must_use]
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// Caches a chat's prefix of so many tokens and counts as its use.
+    /// Caches a chat's prefix with its length in tokens, marks it as most recently used and evicts others as needed.
     pub fn put(&mut self, chat: &str, tokens: u32) {
         self.clock += 1;
-        let before = self.chats.insert(chat.to_owned(), (tokens, self.clock));
-        self.used = self.used - u64::from(before.map_or(0, |(tokens, _)| tokens)) + u64::from(tokens);
+        let previous = self.chats.insert(chat.to_owned(), (tokens, self.clock));
+        self.used = self.used - u64::from(previous.map_or(0, |(tokens, _)| tokens)) + u64::from(tokens);
         self.order.push_back((self.clock, chat.to_owned()));
-        self.tell(chat, tokens);
+        self.publish(chat, tokens);
         self.evict();
     }
 
-    /// Events after a number. Some are missing.
+    /// Returns the retained events after a sequence number, without the dropped ones.
     #[must_use]
     pub fn events(&self, after: u64) -> Vec<Event> {
         self.events.iter().filter(|event| event.number > after).cloned().collect()
@@ -77,23 +77,23 @@
 
     fn evict(&mut self) {
         while self.used > self.capacity {
-            let Some((used_at, chat)) = self.order.pop_front() else {
+            let Some((last_use, chat)) = self.order.pop_front() else {
                 return;
             };
-            let current = self.chats.get(&chat).is_some_and(|(_, last)| *last == used_at);
+            let current = self.chats.get(&chat).is_some_and(|(_, last)| *last == last_use);
             if !current {
                 continue;
             }
             if let Some((tokens, _)) = self.chats.remove(&chat) {
                 self.used -= u64::from(tokens);
-                self.tell(&chat, 0);
+                self.publish(&chat, 0);
             }
         }
     }
 
-    fn tell(&mut self, chat: &str, tokens: u32) {
+    fn publish(&mut self, chat: &str, tokens: u32) {
         self.number += 1;
-        if self.number.is_multiple_of(GAP) {
+        if self.number.is_multiple_of(EVENT_LOSS_INTERVAL) {
             return;
         }
         if self.events.len() >= MAX_EVENTS {
--- a/crates/stairvale-standin/src/engine.rs
+++ b/crates/stairvale-standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: batches continuously, caches prefixes, streams, resumes, cancels, exports and imports, takes orders.
+//! A model engine: continuous batching, a prefix cache, resumable and cancellable streams, export and import of KV caches,
+//! and orders that change the loaded model.
 
 use std::{
     collections::VecDeque,
@@ -25,64 +26,65 @@
     batch::{Batch, Job, Speed},
     cache::Cache,
     http::{
-        Body, Cut, DRAIN, Error, Piece, body, draining, events, header_text, json as answer_json, number, parameter,
-        parse, serve, status,
+        Aborted, Body, BodyFrame, Error, MIN_DRAIN, body, draining_response, empty_response, event_stream, header_text,
+        json_body, json_response, query_number, query_parameter, serve,
     },
     runs::{REQUEST_ID, Runs},
 };
 
-/// Text bytes that make about one token.
+/// The approximate number of bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// How late the load report is.
+/// The delay of the reported load behind the actual load.
 const LOAD_LAG: Duration = Duration::from_millis(100);
-/// How late cache events are.
-const EVENT_LAG: u64 = 8;
+/// The number of newest cache events that are withheld, to simulate events that arrive late.
+const WITHHELD_EVENTS: u64 = 8;
 
-/// An engine's command line.
+/// The command-line arguments of an engine.
 #[derive(Debug, Options)]
 pub struct Arguments {
     /// print this help
     help: bool,
-    /// the address to listen at
+    /// the address to listen on
     #[options(required)]
     listen: Option<SocketAddr>,
     /// the model that is loaded at the start
     #[options(default = "prairie-8b")]
     model: String,
-    /// its version
+    /// the version of that model
     #[options(default = "1")]
     version: String,
-    /// streams that decode at once
+    /// maximum number of streams that decode at the same time
     #[options(default = "32")]
     slots: usize,
-    /// a step without prefill, in microseconds
+    /// duration of a step without prefill, in microseconds
     #[options(default = "5500")]
     step_us: u64,
-    /// what one prefilled token adds to a step, in microseconds
+    /// time that each prefilled token adds to a step, in microseconds
     #[options(default = "50")]
     prefill_us: u64,
-    /// tokens prefilled in one step at the most
+    /// maximum number of tokens prefilled in one step
     #[options(default = "128")]
     chunk: u32,
-    /// what importing one token takes, in microseconds
+    /// time to import one token of a KV cache, in microseconds
     #[options(default = "15")]
     transfer_us: u64,
-    /// tokens that the prefix cache holds
+    /// capacity of the prefix cache, in tokens
     #[options(default = "400000")]
     cache: u64,
-    /// refuse orders with an older fencing token
+    /// refuse orders whose fencing token is older than the highest one received
     check_orders: bool,
 }
 
-/// The fault switch.
+/// The injected faults, set by `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 struct Faults {
-    /// It says that it drains, and takes no new work.
+    /// The engine reports that it is draining and refuses new requests.
     drain: bool,
-    /// Streams are cut after so many events, once each; zero for never.
+    /// Aborts a connection that reads a stream from its start after this number of events; zero disables it. Resumed
+    /// streams are not aborted.
     cut_after: usize,
-    /// Each step takes so many times as long; zero for once.
+    /// Multiplies the duration of each step; zero counts as one.
     slow: u32,
 }
 
@@ -95,30 +97,30 @@
     loads: VecDeque<(Instant, usize)>,
     model: String,
     version: String,
-    token: u64,
+    fencing_token: u64,
     orders: u64,
 }
 
-/// An engine.
+/// A running engine.
 #[derive(Debug)]
 struct Engine {
     state: Mutex<State>,
     stepped: Notify,
     runs: Runs,
     boot: u64,
-    transfer: Duration,
+    transfer_per_token: Duration,
     checks_orders: bool,
 }
 
-/// Runs an engine until it is told to stop and its streams have ended.
+/// Runs an engine until it receives SIGTERM and its streams have ended.
 ///
 /// # Errors
-/// [`Error::Listen`] or [`Error::Signal`].
+/// [`Error::Listen`] if the address cannot be bound, [`Error::Signal`] if no signal handler can be installed.
 pub async fn run(arguments: Arguments) -> Result<(), Error> {
     let address = arguments.listen.ok_or(Error::Listen)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|_| Error::Signal)?;
     let engine = Arc::new(Engine::new(&arguments));
-    tokio::spawn(engine.clone().step());
+    tokio::spawn(engine.clone().run_steps());
     let handler = engine.clone();
     let serving = serve(address, move |request| handle(handler.clone(), request));
     tokio::select! {
@@ -140,13 +142,13 @@
         (Method::GET, "/v1/cache-events") => Some(engine.cache_events(&request)),
         (Method::GET, path) => {
             let attempt = path.strip_prefix("/v1/streams/")?.to_owned();
-            let after = number(&request, "after").unwrap_or(0);
+            let after = query_number(&request, "after").unwrap_or(0);
             engine.resume(&attempt, usize::try_from(after).unwrap_or(0))
         }
         (Method::DELETE, path) => {
             let attempt = path.strip_prefix("/v1/streams/")?;
             engine.state().batch.cancel(attempt);
-            Some(status(StatusCode::NO_CONTENT))
+            Some(empty_response(StatusCode::NO_CONTENT))
         }
         _ => engine.generate(request).await,
     }
@@ -156,8 +158,8 @@
     fn new(arguments: &Arguments) -> Self {
         let speed = Speed {
             step: Duration::from_micros(arguments.step_us),
-            prefill: Duration::from_micros(arguments.prefill_us),
-            chunk: arguments.chunk,
+            prefill_per_token: Duration::from_micros(arguments.prefill_us),
+            chunk_tokens: arguments.chunk,
             slots: arguments.slots,
         };
         let state = State {
@@ -168,7 +170,7 @@
             loads: VecDeque::new(),
             model: arguments.model.clone(),
             version: arguments.version.clone(),
-            token: 0,
+            fencing_token: 0,
             orders: 0,
         };
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -177,7 +179,7 @@
             stepped: Notify::new(),
             runs: Runs::default(),
             boot: u64::try_from(now.as_millis()).unwrap_or(0),
-            transfer: Duration::from_micros(arguments.transfer_us),
+            transfer_per_token: Duration::from_micros(arguments.transfer_us),
             checks_orders: arguments.check_orders,
         }
     }
@@ -186,10 +188,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Steps for ever. What a step made shows at its end.
-    async fn step(self: Arc<Self>) {
+    /// Runs steps for ever. Readers are notified of the tokens of a step when its simulated duration has passed.
+    async fn run_steps(self: Arc<Self>) {
         loop {
-            let lasts = {
+            let duration = {
                 let mut state = self.state();
                 let load = state.batch.load();
                 state.loads.push_back((Instant::now(), load));
@@ -199,7 +201,7 @@
                 let slow = state.faults.slow.max(1);
                 state.batch.step() * slow
             };
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             self.stepped.notify_waiters();
         }
     }
@@ -210,8 +212,8 @@
             state.draining = true;
             state.change += 1;
         }
-        tokio::time::sleep(DRAIN).await;
-        // Readers get their last events before the process ends.
+        tokio::time::sleep(MIN_DRAIN).await;
+        // The pause after the last stream lets readers receive their last events before the process ends.
         loop {
             tokio::time::sleep(Duration::from_millis(300)).await;
             if self.state().batch.load() == 0 {
@@ -227,7 +229,7 @@
         {
             let state = self.state();
             if state.draining || state.faults.drain {
-                return Some(draining());
+                return Some(draining_response());
             }
         }
         let attempt = header_text(&request, "stairvale-attempt").unwrap_or_else(|| "none".to_owned());
@@ -241,7 +243,7 @@
         };
         let body = body(request).await?;
         let Ok(json) = serde_json::from_slice::<Json>(&body) else {
-            return Some(status(StatusCode::BAD_REQUEST));
+            return Some(empty_response(StatusCode::BAD_REQUEST));
         };
         if let (Some(source), Some(chat)) = (source, &chat) {
             self.import(&source, chat).await;
@@ -267,7 +269,7 @@
         Some(response)
     }
 
-    /// Fetches a chat's KV cache from another engine.
+    /// Fetches a chat's KV cache from another engine, and keeps it if it is longer than the local one.
     async fn import(&self, source: &str, chat: &str) -> Option<()> {
         let client: legacy::Client<_, Full<Bytes>> = legacy::Client::builder(TokioExecutor::new()).build_http();
         let uri = format!("http://{source}/v1/kv/export?chat={chat}").parse().ok()?;
@@ -275,7 +277,7 @@
         let body = response.into_body().collect().await.ok()?.to_bytes();
         let tokens = serde_json::from_slice::<Json>(&body).ok()?["tokens"].as_u64()?;
         let tokens = u32::try_from(tokens).ok()?;
-        tokio::time::sleep(self.transfer * tokens).await;
+        tokio::time::sleep(self.transfer_per_token * tokens).await;
         let mut state = self.state();
         if tokens > state.batch.cache.get(chat) {
             state.batch.cache.put(chat, tokens);
@@ -284,20 +286,20 @@
     }
 
     fn export(&self, request: &Request<Incoming>) -> Option<Response<Body>> {
-        let chat = parameter(request, "chat")?;
+        let chat = query_parameter(request, "chat")?;
         let tokens = self.state().batch.cache.get(&chat);
-        Some(answer_json(&json!({ "tokens": tokens })))
+        Some(json_response(&json!({ "tokens": tokens })))
     }
 
     fn resume(self: &Arc<Self>, attempt: &str, after: usize) -> Option<Response<Body>> {
-        let known = self.state().batch.get(attempt).is_some();
-        if !known {
-            return Some(status(StatusCode::NOT_FOUND));
+        let exists = self.state().batch.get(attempt).is_some();
+        if !exists {
+            return Some(empty_response(StatusCode::NOT_FOUND));
         }
         self.stream(attempt, after)
     }
 
-    /// Streams the events after a position to one reader.
+    /// Opens a response that streams the events after a position to one reader.
     fn stream(self: &Arc<Self>, attempt: &str, after: usize) -> Option<Response<Body>> {
         const BUFFER: usize = 8;
         let (sender, receiver) = mpsc::channel(BUFFER);
@@ -305,17 +307,17 @@
             let mut state = self.state();
             let stream = state.batch.get_mut(attempt)?;
             stream.readers += 1;
-            stream.orphaned = None;
+            stream.orphaned_since = None;
         }
-        tokio::spawn(feed(self.clone(), attempt.to_owned(), after, sender));
-        Some(events(receiver))
+        tokio::spawn(send_events(self.clone(), attempt.to_owned(), after, sender));
+        Some(event_stream(receiver))
     }
 
     fn status(&self) -> Response<Body> {
         let state = self.state();
         let serving = !state.draining && !state.faults.drain;
         let load = state.loads.front().map_or(0, |(_, load)| *load);
-        answer_json(&json!({
+        json_response(&json!({
             "boot": self.boot,
             "change": state.change,
             "state": if serving { "serving" } else { "draining" },
@@ -326,56 +328,57 @@
     }
 
     async fn order(&self, request: Request<Incoming>) -> Option<Response<Body>> {
-        let order: Json = parse(request).await?;
+        let order: Json = json_body(request).await?;
         let token = order["token"].as_u64()?;
         let mut state = self.state();
-        if self.checks_orders && token < state.token {
-            return Some(status(StatusCode::CONFLICT));
+        if self.checks_orders && token < state.fencing_token {
+            return Some(empty_response(StatusCode::CONFLICT));
         }
-        state.token = state.token.max(token);
+        state.fencing_token = state.fencing_token.max(token);
         state.model = order["model"].as_str()?.to_owned();
         state.version = order["version"].as_str()?.to_owned();
         state.orders += 1;
-        Some(answer_json(&json!({})))
+        Some(json_response(&json!({})))
     }
 
     fn cache_events(&self, request: &Request<Incoming>) -> Response<Body> {
-        let after = number(request, "after").unwrap_or(0);
+        let after = query_number(request, "after").unwrap_or(0);
         let mut events = self.state().batch.cache.events(after);
-        let late = usize::try_from(EVENT_LAG).unwrap_or(0);
-        events.truncate(events.len().saturating_sub(late));
-        answer_json(&events)
+        let withheld = usize::try_from(WITHHELD_EVENTS).unwrap_or(0);
+        events.truncate(events.len().saturating_sub(withheld));
+        json_response(&events)
     }
 
     async fn admin(&self, path: &str, request: Request<Incoming>) -> Option<Response<Body>> {
         match path {
-            "load" => Some(answer_json(&json!({ "load": self.state().batch.load() }))),
-            "runs" => Some(answer_json(&self.runs.all())),
+            "load" => Some(json_response(&json!({ "load": self.state().batch.load() }))),
+            "runs" => Some(json_response(&self.runs.all())),
             "stats" => {
                 let state = self.state();
-                let (token, orders, cached) = (state.token, state.orders, state.batch.cache.used());
-                Some(answer_json(&json!({ "token": token, "orders": orders, "cached_tokens": cached })))
+                let (token, orders, cached) = (state.fencing_token, state.orders, state.batch.cache.used());
+                Some(json_response(&json!({ "token": token, "orders": orders, "cached_tokens": cached })))
             }
             "faults" => {
-                let faults: Faults = parse(request).await?;
+                let faults: Faults = json_body(request).await?;
                 let mut state = self.state();
                 if faults.drain != state.faults.drain {
                     state.change += 1;
                 }
                 state.faults = faults;
-                Some(answer_json(&faults))
+                Some(json_response(&faults))
             }
-            _ => Some(status(StatusCode::NOT_FOUND)),
+            _ => Some(empty_response(StatusCode::NOT_FOUND)),
         }
     }
 }
 
-/// Feeds one reader from a stream until it ends, the reader leaves, or the fault switch cuts it.
-async fn feed(engine: Arc<Engine>, attempt: String, after: usize, mut sender: mpsc::Sender<Piece>) {
+/// Sends a stream's events to one reader until the stream ends, the reader disconnects, or the `cut_after` fault aborts the
+/// connection.
+async fn send_events(engine: Arc<Engine>, attempt: String, after: usize, mut sender: mpsc::Sender<BodyFrame>) {
     let mut position = after + 1;
     loop {
         let stepped = engine.stepped.notified();
-        let (ready, over, cut_after) = {
+        let (ready, done, cut_after) = {
             let state = engine.state();
             let cut_after = state.faults.cut_after;
             let Some(stream) = state.batch.get(&attempt) else {
@@ -386,34 +389,34 @@
         };
         for event in ready {
             if after == 0 && cut_after > 0 && position > cut_after {
-                leave(&engine, &attempt);
-                let _ = sender.send(Err(Cut)).await;
+                detach_reader(&engine, &attempt);
+                let _ = sender.send(Err(Aborted)).await;
                 return;
             }
             position += 1;
             if sender.send(Ok(Frame::data(event.into()))).await.is_err() {
-                leave(&engine, &attempt);
+                detach_reader(&engine, &attempt);
                 return;
             }
         }
-        if over {
-            leave(&engine, &attempt);
+        if done {
+            detach_reader(&engine, &attempt);
             return;
         }
         if sender.is_closed() {
-            leave(&engine, &attempt);
+            detach_reader(&engine, &attempt);
             return;
         }
         stepped.await;
     }
 }
 
-fn leave(engine: &Engine, attempt: &str) {
+fn detach_reader(engine: &Engine, attempt: &str) {
     let mut state = engine.state();
     if let Some(stream) = state.batch.get_mut(attempt) {
         stream.readers = stream.readers.saturating_sub(1);
         if stream.readers == 0 {
-            stream.orphaned = Some(Instant::now());
+            stream.orphaned_since = Some(Instant::now());
         }
     }
 }
--- a/crates/stairvale-standin/src/http.rs
+++ b/crates/stairvale-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share of HTTP.
+//! HTTP helpers shared by the stand-ins: the server loop, parsing of requests and construction of responses.
 
 use std::{future::Future, net::SocketAddr};
 
@@ -17,32 +17,32 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::net::TcpListener;
 
-/// A piece of a streamed body, or the order to break the connection.
-pub type Piece = Result<Frame<Bytes>, Cut>;
+/// A frame of a streamed body, or [`Aborted`] to break the connection.
+pub type BodyFrame = Result<Frame<Bytes>, Aborted>;
 
-/// A body: whole or streamed.
-pub type Body = Either<Full<Bytes>, StreamBody<mpsc::Receiver<Piece>>>;
+/// A response body, complete or streamed.
+pub type Body = Either<Full<Bytes>, StreamBody<mpsc::Receiver<BodyFrame>>>;
 
-/// The connection is broken on purpose.
+/// Error that makes the server break the connection without a complete response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("cut by the fault switch")]
-pub struct Cut;
+#[error("connection aborted by fault injection")]
+pub struct Aborted;
 
-/// A stand-in couldn't start.
+/// The reason why a stand-in could not start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The address can't be listened at.
-    #[error("the address can't be listened at")]
+    /// The listening address is missing or cannot be bound.
+    #[error("cannot listen on the address")]
     Listen,
-    /// Signals can't be received.
-    #[error("signals can't be received")]
+    /// The signal handler cannot be installed.
+    #[error("cannot install the signal handler")]
     Signal,
 }
 
-/// Serves requests until the future is dropped.
+/// Serves requests until the future is dropped. A handler that returns `None` breaks the connection.
 ///
 /// # Errors
-/// [`Error::Listen`].
+/// [`Error::Listen`] if the address cannot be bound.
 pub async fn serve<H, F>(address: SocketAddr, handler: H) -> Result<(), Error>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -57,8 +57,8 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = handler(request);
-                async move { answer.await.ok_or(Cut) }
+                let response = handler(request);
+                async move { response.await.ok_or(Aborted) }
             });
             let builder = auto::Builder::new(TokioExecutor::new());
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
@@ -66,69 +66,70 @@
     }
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 #[must_use]
-pub fn parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
+pub fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
 }
 
-/// A number among the query parameters.
+/// Returns the value of a query parameter that is a number.
 #[must_use]
-pub fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
-    parameter(request, name)?.parse().ok()
+pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
+    query_parameter(request, name)?.parse().ok()
 }
 
-/// The value of a header.
+/// Returns the value of a header if it is text.
 #[must_use]
 pub fn header_text(request: &Request<Incoming>, name: &str) -> Option<String> {
     Some(request.headers().get(name)?.to_str().ok()?.to_owned())
 }
 
-/// A request's body.
+/// Reads a request's complete body; `None` if the connection breaks before its end.
 pub async fn body(request: Request<Incoming>) -> Option<Bytes> {
     Some(request.into_body().collect().await.ok()?.to_bytes())
 }
 
-/// A request's body as JSON.
-pub async fn parse<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+/// Reads a request's body and parses it as JSON.
+pub async fn json_body<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     serde_json::from_slice(&body(request).await?).ok()
 }
 
-/// An answer in JSON.
+/// Creates a response with a JSON body.
 #[must_use]
-pub fn json<T: Serialize>(value: &T) -> Response<Body> {
+pub fn json_response<T: Serialize>(value: &T) -> Response<Body> {
     let mut response = Response::new(Either::Left(Full::new(serde_json::to_vec(value).unwrap_or_default().into())));
-    let kind = header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-/// An answer without a body.
+/// Creates a response with a status and no body.
 #[must_use]
-pub fn status(status: StatusCode) -> Response<Body> {
+pub fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Either::Left(Full::default()));
     *response.status_mut() = status;
     response
 }
 
-/// The answer of an upstream that drains: it did not run the request, and says so.
+/// Creates the response of a draining upstream: 503 with the header that states that the request was not run.
 #[must_use]
-pub fn draining() -> Response<Body> {
-    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+pub fn draining_response() -> Response<Body> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert("stairvale-not-run", header::HeaderValue::from_static("?1"));
     response
 }
 
-/// A draining upstream stays at least this long: routers take some seconds to hear of it.
-pub const DRAIN: std::time::Duration = std::time::Duration::from_millis(2_500);
+/// The minimum time that an upstream keeps running after it starts to drain. Routers take some seconds to receive the
+/// status report, and may send requests until then.
+pub const MIN_DRAIN: std::time::Duration = std::time::Duration::from_millis(2_500);
 
-/// A streamed answer of server-sent events.
+/// Creates a response that streams server-sent events.
 #[must_use]
-pub fn events(pieces: mpsc::Receiver<Piece>) -> Response<Body> {
-    let mut response = Response::new(Either::Right(StreamBody::new(pieces)));
-    let kind = header::HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+pub fn event_stream(frames: mpsc::Receiver<BodyFrame>) -> Response<Body> {
+    let mut response = Response::new(Either::Right(StreamBody::new(frames)));
+    let content_type = header::HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/crates/stairvale-standin/src/lib.rs
+++ b/crates/stairvale-standin/src/lib.rs
@@ -1,12 +1,12 @@
-//! Stand-ins for what stairvale meets outside: the platform, a model engine and a plain service.
+//! Stand-ins for the external systems that stairvale works with: the platform, a model engine and a plain service.
 //!
-//! Each runs as a process of its own and has a small fault switch under `/admin/`. They speak the published protocols as
-//! far as stairvale uses them, and count what they ran, so that a test can ask how often a request ran.
+//! Each runs as a separate process and has endpoints under `/admin/` that inject faults. They implement the parts of the
+//! published protocols that stairvale uses, and count how often each request ran, so that a test can query the counts.
 //!
 //! ```
 //! use stairvale_standin::text;
 //!
-//! // An answer is a function of its request, so that a mixed, cut or doubled one shows.
+//! // An answer is a function of its request, so that a test detects mixed, truncated and duplicated answers.
 //! assert_eq!(text::word("hello", 0), text::word("hello", 0));
 //! assert_ne!(text::word("hello", 0), text::word("hello", 1));
 //! ```
--- a/crates/stairvale-standin/src/platform.rs
+++ b/crates/stairvale-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service with compare-and-swap, leases and watches, and its lagging list of VMs.
+//! The platform: a key-value store with compare-and-swap, leases and watches, and a list of VMs that lags behind.
 
 use std::{
     collections::HashMap,
@@ -14,26 +14,26 @@
 use serde_json::{Value as Json, json};
 use tokio::sync::Notify;
 
-use crate::http::{Body, Error, body, json as answer_json, number, parse, serve, status};
+use crate::http::{Body, Error, body, empty_response, json_body, json_response, query_number, serve};
 
-/// The largest value, in bytes.
-const MAX_VALUE: usize = 1 << 20;
+/// The maximum size of a stored value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// The platform's command line.
+/// The command-line arguments of the platform.
 #[derive(Debug, Options)]
 pub struct Arguments {
     /// print this help
     help: bool,
-    /// the address to listen at
+    /// the address to listen on
     #[options(required)]
     listen: Option<SocketAddr>,
-    /// how late the list of VMs is, in milliseconds
+    /// delay of the list of VMs behind its actual state, in milliseconds
     #[options(default = "500")]
     lag_ms: u64,
-    /// writes a second; more are refused
+    /// maximum number of writes per second; more are refused
     #[options(default = "300")]
     writes: u32,
-    /// reads a second; more are refused
+    /// maximum number of reads per second; more are refused
     #[options(default = "2000")]
     reads: u32,
 }
@@ -48,26 +48,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The fault switch.
+/// The injected faults, set by `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 struct Faults {
-    /// Every call is refused.
+    /// Every call is refused with status 503.
     down: bool,
-    /// Calls hang until they time out.
+    /// Calls are held for 30 s and then dropped, so that the client times out.
     hang: bool,
-    /// Each call takes this much longer.
+    /// The additional delay of each call, in milliseconds.
     slow_ms: u64,
-    /// The answers to so many of the next writes are lost after they took effect.
+    /// The number of coming writes whose response is lost after the write took effect.
     lose_writes: u32,
-    /// The list of VMs stays as it is.
+    /// The published list of VMs is no longer updated.
     freeze_list: bool,
 }
 
-/// How often each kind of call came.
+/// The number of calls received by kind, and the number refused by the rate limits.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct Calls {
     reads: u64,
@@ -78,23 +78,23 @@
     refused: u64,
 }
 
-/// A token bucket that holds one second's worth.
+/// A token bucket with a capacity of one second at its rate.
 #[derive(Debug)]
 struct Bucket {
     rate: f64,
     tokens: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl Bucket {
     fn new(rate: u32) -> Self {
-        Self { rate: f64::from(rate), tokens: f64::from(rate), at: Instant::now() }
+        Self { rate: f64::from(rate), tokens: f64::from(rate), updated_at: Instant::now() }
     }
 
     fn take(&mut self) -> bool {
-        let earned = self.at.elapsed().as_secs_f64() * self.rate;
-        self.at = Instant::now();
-        self.tokens = (self.tokens + earned).min(self.rate);
+        let refill = self.updated_at.elapsed().as_secs_f64() * self.rate;
+        self.updated_at = Instant::now();
+        self.tokens = (self.tokens + refill).min(self.rate);
         if self.tokens < 1.0 {
             return false;
         }
@@ -110,7 +110,7 @@
     revision: u64,
     vms: HashMap<String, Json>,
     list_revision: u64,
-    /// Lists as they were, to show a late one.
+    /// The published lists with their times and revisions, so that a delayed one can be returned.
     lists: Vec<(Instant, u64, Vec<Json>)>,
     faults: Faults,
     calls: Calls,
@@ -118,7 +118,7 @@
     writes: Bucket,
 }
 
-/// The platform.
+/// A running platform stand-in.
 #[derive(Debug)]
 pub struct Platform {
     state: Mutex<State>,
@@ -129,7 +129,7 @@
 /// Runs the platform until the process ends.
 ///
 /// # Errors
-/// [`Error::Listen`].
+/// [`Error::Listen`] if the address cannot be bound.
 pub async fn run(arguments: Arguments) -> Result<(), Error> {
     let address = arguments.listen.ok_or(Error::Listen)?;
     let platform = Arc::new(Platform::new(&arguments));
@@ -148,7 +148,7 @@
     }
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     if faults.down {
-        return Some(status(StatusCode::SERVICE_UNAVAILABLE));
+        return Some(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     platform.route(&path, request).await
 }
@@ -172,7 +172,7 @@
 
     fn state(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.lapse();
+        state.expire_leases();
         state
     }
 
@@ -181,19 +181,19 @@
             return match *request.method() {
                 Method::GET => Some(self.read(key)),
                 Method::PUT => self.write(key.to_owned(), request).await,
-                _ => Some(status(StatusCode::METHOD_NOT_ALLOWED)),
+                _ => Some(empty_response(StatusCode::METHOD_NOT_ALLOWED)),
             };
         }
         if let Some(key) = path.strip_prefix("/v1/watch/") {
-            let after = number(&request, "after").unwrap_or(0);
-            let wait = Duration::from_millis(number(&request, "wait_ms").unwrap_or(0));
+            let after = query_number(&request, "after").unwrap_or(0);
+            let wait = Duration::from_millis(query_number(&request, "wait_ms").unwrap_or(0));
             return Some(self.watch(key, after, wait).await);
         }
         if path == "/v1/vms" {
             return Some(self.list());
         }
         if path == "/v1/leases" {
-            let ttl = parse::<Json>(request).await?["ttl_ms"].as_u64()?;
+            let ttl = json_body::<Json>(request).await?["ttl_ms"].as_u64()?;
             return Some(self.lease(Duration::from_millis(ttl)));
         }
         let lease = path.strip_prefix("/v1/leases/")?.strip_suffix("/renew")?.parse().ok()?;
@@ -205,26 +205,26 @@
         state.calls.reads += 1;
         if !state.reads.take() {
             state.calls.refused += 1;
-            return status(StatusCode::TOO_MANY_REQUESTS);
+            return empty_response(StatusCode::TOO_MANY_REQUESTS);
         }
-        state.show(key)
+        state.entry_response(key)
     }
 
     async fn write(&self, key: String, request: Request<Incoming>) -> Option<Response<Body>> {
-        let expected = number(&request, "revision").unwrap_or(0);
-        let lease = number(&request, "lease");
+        let expected = query_number(&request, "revision").unwrap_or(0);
+        let lease = query_number(&request, "lease");
         let value = String::from_utf8(body(request).await?.to_vec()).ok()?;
         let (response, lost) = {
             let mut state = self.state();
             state.calls.writes += 1;
             if !state.writes.take() {
                 state.calls.refused += 1;
-                return Some(status(StatusCode::TOO_MANY_REQUESTS));
+                return Some(empty_response(StatusCode::TOO_MANY_REQUESTS));
             }
-            if value.len() > MAX_VALUE {
-                return Some(status(StatusCode::PAYLOAD_TOO_LARGE));
+            if value.len() > MAX_VALUE_BYTES {
+                return Some(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
             }
-            let response = state.swap(key, value, expected, lease);
+            let response = state.compare_and_swap(key, value, expected, lease);
             let lost = state.faults.lose_writes > 0;
             state.faults.lose_writes = state.faults.lose_writes.saturating_sub(1);
             (response, lost)
@@ -234,22 +234,22 @@
     }
 
     async fn watch(&self, key: &str, after: u64, wait: Duration) -> Response<Body> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         self.state().calls.watches += 1;
         loop {
             let changed = self.changed.notified();
             {
                 let state = self.state();
                 if state.faults.down {
-                    return status(StatusCode::SERVICE_UNAVAILABLE);
+                    return empty_response(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 let revision = state.entries.get(key).map_or(0, |entry| entry.revision);
                 if revision != after {
-                    return state.show(key);
+                    return state.entry_response(key);
                 }
             }
-            if tokio::time::timeout_at(until.into(), changed).await.is_err() {
-                return status(StatusCode::NO_CONTENT);
+            if tokio::time::timeout_at(deadline.into(), changed).await.is_err() {
+                return empty_response(StatusCode::NO_CONTENT);
             }
         }
     }
@@ -259,85 +259,85 @@
         state.calls.leases += 1;
         state.revision += 1;
         let lease = state.revision;
-        state.leases.insert(lease, Lease { ttl, until: Instant::now() + ttl });
-        answer_json(&json!({ "lease": lease }))
+        state.leases.insert(lease, Lease { ttl, expires_at: Instant::now() + ttl });
+        json_response(&json!({ "lease": lease }))
     }
 
     fn renew(&self, lease: u64) -> Response<Body> {
         let mut state = self.state();
         state.calls.leases += 1;
         let Some(lease) = state.leases.get_mut(&lease) else {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
-        lease.until = Instant::now() + lease.ttl;
-        answer_json(&json!({}))
+        lease.expires_at = Instant::now() + lease.ttl;
+        json_response(&json!({}))
     }
 
     fn list(&self) -> Response<Body> {
         let mut state = self.state();
         state.calls.lists += 1;
         let lag = self.lag;
-        let late = state.lists.iter().rev().find(|(at, _, _)| at.elapsed() >= lag);
-        let (revision, vms) = late.map(|(_, revision, vms)| (*revision, vms.clone())).unwrap_or_default();
-        answer_json(&json!({ "revision": revision, "vms": vms }))
+        let delayed = state.lists.iter().rev().find(|(at, _, _)| at.elapsed() >= lag);
+        let (revision, vms) = delayed.map(|(_, revision, vms)| (*revision, vms.clone())).unwrap_or_default();
+        json_response(&json!({ "revision": revision, "vms": vms }))
     }
 
     async fn admin(&self, path: &str, request: Request<Incoming>) -> Option<Response<Body>> {
         let is_get = request.method() == Method::GET;
         match path {
-            "stats" => Some(answer_json(&self.state().calls)),
-            "faults" if is_get => Some(answer_json(&self.state().faults)),
+            "stats" => Some(json_response(&self.state().calls)),
+            "faults" if is_get => Some(json_response(&self.state().faults)),
             "faults" => {
-                let faults = parse(request).await?;
+                let faults = json_body(request).await?;
                 self.state().faults = faults;
                 self.changed.notify_waiters();
-                Some(answer_json(&faults))
+                Some(json_response(&faults))
             }
             "vms" => {
-                let vms: Vec<Json> = parse(request).await?;
+                let vms: Vec<Json> = json_body(request).await?;
                 self.state().set_vms(vms);
-                Some(answer_json(&json!({})))
+                Some(json_response(&json!({})))
             }
             "dump" => {
                 let state = self.state();
                 let entries: HashMap<_, _> = state.entries.iter().map(|(key, entry)| (key, &entry.value)).collect();
-                Some(answer_json(&entries))
+                Some(json_response(&entries))
             }
-            _ => Some(status(StatusCode::NOT_FOUND)),
+            _ => Some(empty_response(StatusCode::NOT_FOUND)),
         }
     }
 }
 
 impl State {
-    /// Drops leases that ran out, with their keys.
-    fn lapse(&mut self) {
+    /// Removes expired leases and the entries that are bound to them.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        self.leases.retain(|_, lease| lease.until > now);
+        self.leases.retain(|_, lease| lease.expires_at > now);
         let leases = &self.leases;
         self.entries.retain(|_, entry| entry.lease.is_none_or(|lease| leases.contains_key(&lease)));
     }
 
-    fn show(&self, key: &str) -> Response<Body> {
+    fn entry_response(&self, key: &str) -> Response<Body> {
         let Some(entry) = self.entries.get(key) else {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
-        answer_json(&json!({ "value": entry.value, "revision": entry.revision }))
+        json_response(&json!({ "value": entry.value, "revision": entry.revision }))
     }
 
-    fn swap(&mut self, key: String, value: String, expected: u64, lease: Option<u64>) -> Response<Body> {
+    fn compare_and_swap(&mut self, key: String, value: String, expected: u64, lease: Option<u64>) -> Response<Body> {
         let found = self.entries.get(&key).map_or(0, |entry| entry.revision);
         if found != expected {
-            let mut response = answer_json(&json!({ "revision": found }));
+            let mut response = json_response(&json!({ "revision": found }));
             *response.status_mut() = StatusCode::CONFLICT;
             return response;
         }
         self.revision += 1;
         let revision = self.revision;
         self.entries.insert(key, Entry { value, revision, lease });
-        answer_json(&json!({ "revision": revision }))
+        json_response(&json!({ "revision": revision }))
     }
 
-    /// Adds or replaces the named VMs; one with `"gone": true` leaves the list.
+    /// Adds or replaces VMs by name and publishes a new list; a VM with `"gone": true` is removed.
     fn set_vms(&mut self, vms: Vec<Json>) {
         for vm in vms {
             let name = vm["name"].as_str().unwrap_or_default().to_owned();
--- a/crates/stairvale-standin/src/service.rs
+++ b/crates/stairvale-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service with calls that must not be repeated.
+//! A plain service whose calls must not be repeated.
 
 use std::{
     net::SocketAddr,
@@ -17,40 +17,40 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::{
-    http::{Body, DRAIN, Error, body, draining, header_text, json as answer_json, parse, serve},
+    http::{Body, Error, MIN_DRAIN, body, draining_response, header_text, json_body, json_response, serve},
     runs::{REQUEST_ID, Runs},
     text,
 };
 
-/// How often a call whose answer is held back looks whether it still is.
-const HOLD_STEP: Duration = Duration::from_millis(20);
+/// The interval at which a call with a held response checks whether the `hold` fault is still set.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A service's command line.
+/// The command-line arguments of a service.
 #[derive(Debug, Options)]
 pub struct Arguments {
     /// print this help
     help: bool,
-    /// the address to listen at
+    /// the address to listen on
     #[options(required)]
     listen: Option<SocketAddr>,
-    /// how long a call takes, in milliseconds
+    /// duration of a call, in milliseconds
     #[options(default = "5")]
     delay_ms: u64,
 }
 
-/// The fault switch.
+/// The injected faults, set by `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 struct Faults {
-    /// It says that it drains.
+    /// The service reports that it is draining and refuses calls.
     drain: bool,
-    /// It refuses calls, though it says that it serves.
+    /// The service refuses calls although it reports that it is serving.
     refuse: bool,
-    /// It refuses calls and asks for so many seconds of rest.
+    /// The service refuses calls with a `Retry-After` header of this number of seconds.
     rest: Option<u32>,
-    /// The connection breaks after the call ran, before its answer: so many of the next calls.
+    /// The number of coming calls whose connection breaks after the call ran and before its response.
     break_after: u32,
-    /// Calls run, and their answers are held back until this is switched off.
+    /// Calls run, and their responses are held back until this is cleared.
     hold: bool,
 }
 
@@ -59,7 +59,7 @@
     faults: Faults,
     draining: bool,
     change: u64,
-    /// Calls that were refused.
+    /// The number of refused calls.
     refused: u64,
 }
 
@@ -72,10 +72,10 @@
     delay: Duration,
 }
 
-/// Runs a service until it is told to stop and its calls have ended.
+/// Runs a service until it receives SIGTERM and its calls have ended.
 ///
 /// # Errors
-/// [`Error::Listen`] or [`Error::Signal`].
+/// [`Error::Listen`] if the address cannot be bound, [`Error::Signal`] if no signal handler can be installed.
 pub async fn run(arguments: Arguments) -> Result<(), Error> {
     let address = arguments.listen.ok_or(Error::Listen)?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|_| Error::Signal)?;
@@ -99,19 +99,19 @@
     let path = request.uri().path().to_owned();
     match path.as_str() {
         "/v1/status" => Some(service.status()),
-        "/admin/runs" => Some(answer_json(&service.runs.all())),
-        "/admin/load" => Some(answer_json(&json!({
+        "/admin/runs" => Some(json_response(&service.runs.all())),
+        "/admin/load" => Some(json_response(&json!({
             "load": service.load.load(Ordering::Relaxed),
             "refused": service.state().refused,
         }))),
         "/admin/faults" => {
-            let faults: Faults = parse(request).await?;
+            let faults: Faults = json_body(request).await?;
             let mut state = service.state();
             if faults.drain != state.faults.drain {
                 state.change += 1;
             }
             state.faults = faults;
-            Some(answer_json(&faults))
+            Some(json_response(&faults))
         }
         _ => service.call(request).await,
     }
@@ -128,11 +128,11 @@
             let Faults { drain, refuse, rest, .. } = state.faults;
             if state.draining || drain || refuse || rest.is_some() {
                 state.refused += 1;
-                let mut answer = draining();
+                let mut response = draining_response();
                 if let Some(seconds) = rest {
-                    answer.headers_mut().insert(header::RETRY_AFTER, seconds.into());
+                    response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
                 }
-                return Some(answer);
+                return Some(response);
             }
         }
         self.load.fetch_add(1, Ordering::Relaxed);
@@ -143,7 +143,7 @@
             self.runs.count(&id);
         }
         while self.state().faults.hold {
-            tokio::time::sleep(HOLD_STEP).await;
+            tokio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
         self.load.fetch_sub(1, Ordering::Relaxed);
         let body = body?;
@@ -154,13 +154,13 @@
                 return None;
             }
         }
-        Some(answer_json(&json!({ "receipt": text::receipt(&body) })))
+        Some(json_response(&json!({ "receipt": text::receipt(&body) })))
     }
 
     fn status(&self) -> Response<Body> {
         let state = self.state();
         let serving = !state.draining && !state.faults.drain;
-        answer_json(&json!({
+        json_response(&json!({
             "boot": self.boot,
             "change": state.change,
             "state": if serving { "serving" } else { "draining" },
@@ -174,7 +174,7 @@
             state.draining = true;
             state.change += 1;
         }
-        tokio::time::sleep(DRAIN).await;
+        tokio::time::sleep(MIN_DRAIN).await;
         loop {
             tokio::time::sleep(Duration::from_millis(100)).await;
             if self.load.load(Ordering::Relaxed) == 0 {
