--- a/crates/stairvale-config/src/fault.rs
+++ b/crates/stairvale-config/src/fault.rs
@@ -20,28 +20,28 @@
     #[error("{0}")]
     Syntax(String),
     /// The document, whose size in bytes is given, exceeds [`MAX_DOCUMENT_BYTES`](crate::document::MAX_DOCUMENT_BYTES).
-    #[error("document of {0} bytes exceeds the limit of {limit} bytes", limit = crate::document::MAX_DOCUMENT_BYTES)]
+    #[error("the document has {0} bytes, which is more than is allowed")]
     Size(usize),
     /// Two items of one list have this name.
-    #[error("duplicate name {0}")]
+    #[error("the name {0} stands twice")]
     DuplicateName(String),
     /// A key's hash isn't 64 lowercase hexadecimal digits.
-    #[error("a key hash must be the 64 lowercase hexadecimal digits of a BLAKE3 hash")]
+    #[error("a key hash is the 64 hexadecimal digits of a BLAKE3 hash")]
     KeyHash,
     /// Another customer or operator, at this path, has the same key, so their requests couldn't be distinguished.
-    #[error("{0} has the same key hash")]
+    #[error("the same key hash stands at {0}")]
     SharedKey(String),
     /// The number is outside its valid range, whose inclusive bounds are given; durations are in milliseconds.
     #[error("must be from {0} to {1}")]
     Range(u64, u64),
     /// The field is only valid for model services, but the service is a plain one.
-    #[error("only valid for model services")]
+    #[error("only a model service has this")]
     PlainService,
     /// A model service doesn't specify its model.
-    #[error("a model service must specify its model")]
+    #[error("a model service names its model")]
     MissingModel,
     /// The text isn't a supported HTTP method.
-    #[error("{0} is not a supported HTTP method")]
+    #[error("{0} is no HTTP method")]
     UnknownMethod(String),
 }
 
--- a/crates/stairvale-control/src/explain.rs
+++ b/crates/stairvale-control/src/explain.rs
@@ -86,28 +86,23 @@
 
 fn describe(step: &Step) -> String {
     let event = match &step.event {
-        Event::PermitRequested { home, max_wait: patience } if patience.is_zero() => {
-            format!("permit requested from its home {home}")
-        }
-        Event::PermitRequested { home, max_wait: patience } => {
-            format!("permit requested from its home {home}, waiting up to {} ms", patience.as_millis())
+        Event::PermitRequested { home, max_wait } if max_wait.is_zero() => format!("asked its home {home}"),
+        Event::PermitRequested { home, max_wait } => {
+            format!("asked its home {home}, willing to wait {} ms", max_wait.as_millis())
         }
         Event::Answered(Verdict::Granted { outstanding, over_share }) => {
-            let note = if *over_share {
-                "; the customer exceeds its share, so other customers' requests go first"
-            } else {
-                ""
-            };
+            let note =
+                if *over_share { "; the customer is over its share, so the engine serves others first" } else { "" };
             format!("granted; {outstanding} outstanding there{note}")
         }
-        Event::Answered(Verdict::Elsewhere { upstream }) => format!("the chat's prefix is cached at {upstream}"),
-        Event::Answered(Verdict::Overflow { .. }) => "skipped: at its load bound".to_owned(),
-        Event::Answered(Verdict::Refused(refusal)) => format!("refused: {refusal}"),
-        Event::Answered(Verdict::NotHome { .. }) => "the requested router is not its home".to_owned(),
-        Event::Answered(Verdict::Closed) => "skipped: accepts no new requests".to_owned(),
+        Event::Answered(Verdict::Elsewhere { upstream }) => format!("the chat's prefix sits at {upstream}"),
+        Event::Answered(Verdict::Overflow { .. }) => "passed over: at its bound".to_owned(),
+        Event::Answered(Verdict::Refused(refusal)) => format!("refused, {refusal}"),
+        Event::Answered(Verdict::NotHome { .. }) => "the router asked is not its home".to_owned(),
+        Event::Answered(Verdict::Closed) => "passed over: takes no new work".to_owned(),
         Event::Unanswered => "its home did not answer".to_owned(),
-        Event::Skipped => "skipped: not usable in this router's view".to_owned(),
-        Event::Degraded => "no home reachable; permit taken from this router's own share".to_owned(),
+        Event::Skipped => "passed over: not usable in this router's view".to_owned(),
+        Event::Degraded => "no home reached; taken from this router's own share".to_owned(),
     };
     format!("{} {}: {event}", step.at, step.upstream)
 }
--- a/crates/stairvale-control/src/handlers/mod.rs
+++ b/crates/stairvale-control/src/handlers/mod.rs
@@ -25,7 +25,7 @@
             Input::PeerUnreachable(router) => self.peer_unreachable(&router),
             Input::Request(request) => self.request(request),
             Input::BackOffRequested { upstream, length } => {
-                self.fleet.upstreams.set_backoff(self.now, &upstream, length)
+                self.fleet.upstreams.set_backoff(self.now, &upstream, length);
             }
             Input::AttemptEnded { attempt, success, unreachable } => self.end(attempt, success, unreachable),
             Input::Claim { key, attempt } => self.claim(key, attempt),
--- a/crates/stairvale-serve/src/core/mod.rs
+++ b/crates/stairvale-serve/src/core/mod.rs
@@ -50,7 +50,7 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Key by which the fleet's reader of the store is selected among the zones' watchers.
 const READER_KEY: u64 = 0;
-/// Number of sync requests that a router sends to its watcher within [`Bounds::stale`], the age at which its copy
+/// Number of sync requests that a router sends to its watcher within [`Bounds::max_age`], the age at which its copy
 /// counts as stale. Each one requests the latest changes and the age of the watcher's copy.
 const SYNCS_PER_STALE_LIMIT: u32 = 6;
 /// Upper limit of the sync interval until the age of this router's copy has been confirmed for the first time.
--- a/crates/stairvale-serve/src/core/rollouts.rs
+++ b/crates/stairvale-serve/src/core/rollouts.rs
@@ -1,8 +1,8 @@
 //! Roll-outs of services to another version: what this router does as the service's home, and otherwise.
 //!
-//! Every router follows its copy of the store. A service's home runs the roll-out controller ([`Steward`]), which
-//! makes reservations and judges the version, and applies the controller's policy to its own pool before the store
-//! shows it. Any other router's pool has no reservation.
+//! Every router follows its copy of the store. A service's home runs the roll-out controller ([`RolloutController`]),
+//! which makes reservations and judges the version, and applies the controller's policy to its own pool before the
+//! store shows it. Any other router's pool has no reservation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/stairvale-serve/src/shared.rs
+++ b/crates/stairvale-serve/src/shared.rs
@@ -271,7 +271,7 @@
                 }
                 Effect::Write(write) => self.record(PendingWrite { write, peer: None }),
                 Effect::WriteFor { peer, number, write } => {
-                    self.record(PendingWrite { write, peer: Some((peer, number)) })
+                    self.record(PendingWrite { write, peer: Some((peer, number)) });
                 }
                 Effect::Stage { service, policy, record } => {
                     rollouts::log(&service, &policy, record.as_deref());
--- a/crates/stairvale-types/src/unit.rs
+++ b/crates/stairvale-types/src/unit.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The text is not a number in the expected form.
-    #[error("expected a number such as 1.25, or a rate such as 50/s")]
+    #[error("a number is expected, such as 1.25 or 50/s")]
     Number,
     /// The multiple is out of range or not finite; a multiple below one could never be kept.
     #[error("a multiple must be at least 1 and at most 100")]
