--- a/spec/freshness.pml
+++ b/spec/freshness.pml
@@ -14,7 +14,7 @@
  *   -DTAKE_OLDER       a response that is older than the router's copy is accepted as its confirmation
  *   -DSTALE_CONFIRMS   the result of a stale read counts as current
  *
- * crates/stairvale-serve/tests/core.rs, keys_are_safe_through_any_trouble, tests the same property with the
+ * crates/stairvale-serve/tests/core.rs, key_revocation_holds_through_any_faults, tests the same property with the
  * transitions of the implementation.
  */
 
