--- a/scripts/days.py
+++ b/scripts/days.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
-"""Writes days of trouble for a deployment of the users' bench: one for each kind of trouble, and mixes of two or three.
+"""Generates test days with faults for a fleetbench site: one day per kind of fault, and days that mix two or three kinds.
 
     fleetbench kinds SITE | scripts/days.py SITE OUT [--seed N] [--mixes N]
 
-Each day has the traffic of one of the site's own busy days and, in place of its troubles, those of one kind, twice, or of some kinds that overlap. Play one with
+Each day has the traffic of one of the site's own busy days. Its events are replaced by two events of one kind, or by
+overlapping events of several kinds. Run a day with
 `fleetbench run SITE OUT/NAME.toml --why ...`.
 """
 
@@ -14,8 +15,9 @@
 import sys
 import tomllib
 
-# Variants of the kinds, by the words that `fleetbench kinds` gives for `how`; a kind that isn't here has none.
-HOWS = {
+# The variants of each kind, as values of the field `how` that `fleetbench kinds` lists. A kind that is missing here has no
+# variants.
+VARIANTS = {
     "srv_crash": ["", "dark", "gone"],
     "srv_grey": ["errors", "shed", "busy", "hang", "reset", "mute", "slow"],
     "garble": ["", "extra", "unframed", "early", "extra late"],
@@ -37,41 +39,43 @@
     "srv_cut": ["", "fronts", "some", "one_way", "reset"],
     "replace_with_reuse": ["", "drain", "dark"],
 }
+# Kinds that belong to the plan of a day; all others are faults.
 PLANNED = {"release", "scale_out", "scale_in", "roll_term", "config_change", "config_storm", "big_config", "revoke", "hup"}
-# Kinds that take a zone, a class of requests or a tenant at random where none is given need nothing else.
-EXTRA = {"config_storm": {"for_s": 3.0, "gap_s": 0.2}, "big_config": {"count": 200}, "revoke": {"count": 2, "gap_s": 0.5}}
+# Fields that a kind needs in addition. A zone, a class of requests or a tenant is not among them, since fleetbench chooses one
+# at random if none is given.
+EXTRA_FIELDS = {"config_storm": {"for_s": 3.0, "gap_s": 0.2}, "big_config": {"count": 200}, "revoke": {"count": 2, "gap_s": 0.5}}
 
 
-def kinds(text):
-    """The names at the beginnings of lines, as far as they are kinds."""
+def parse_kinds(text):
+    """Returns the kinds in the output of `fleetbench kinds`: the names at the starts of lines, except those of fields."""
     return [match[1] for match in re.finditer(r"^([a-z_]+): ", text, re.MULTILINE) if match[1] not in ("for_s", "share", "zone", "on")]
 
 
-def entry(kind, how, at, rng):
-    fields = {"at": round(at, 2), "kind": kind, "how": how, **EXTRA.get(kind, {})}
+def make_event(kind, how, at, rng):
+    fields = {"at": round(at, 2), "kind": kind, "how": how, **EXTRA_FIELDS.get(kind, {})}
     if kind not in PLANNED:
         fields.setdefault("for_s", round(rng.uniform(2.5, 6.0), 1))
     return fields
 
 
-def toml(value):
+def to_toml(value):
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
         return f'"{value}"'
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {toml(item)}" for key, item in value.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {to_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, list):
-        return "[\n" + "".join(f"  {toml(item)},\n" for item in value) + "]"
+        return "[\n" + "".join(f"  {to_toml(item)},\n" for item in value) + "]"
     return repr(value)
 
 
-def day(base, name, troubles, seed):
+def day_file(base, name, events, seed):
     fields = {key: value for key, value in base.items() if key not in ("plan", "faults", "closing", "labels")}
     fields |= {"name": name, "seed": seed, "plan": [], "faults": []}
-    for trouble in troubles:
-        fields["plan" if trouble["kind"] in PLANNED else "faults"].append(trouble)
-    return "".join(f"{key} = {toml(value)}\n" for key, value in fields.items())
+    for event in events:
+        fields["plan" if event["kind"] in PLANNED else "faults"].append(event)
+    return "".join(f"{key} = {to_toml(value)}\n" for key, value in fields.items())
 
 
 def main():
@@ -82,19 +86,19 @@
     parser.add_argument("--mixes", type=int, default=10)
     arguments = parser.parse_args()
     site = tomllib.loads(pathlib.Path(arguments.site).read_text())
-    bases = [one for one in site["day"] if one["slot"] == "scale"] or site["day"]
+    bases = [day for day in site["day"] if day["slot"] == "scale"] or site["day"]
     rng = random.Random(arguments.seed)
     arguments.out.mkdir(parents=True, exist_ok=True)
-    known = [(kind, how) for kind in kinds(sys.stdin.read()) for how in HOWS.get(kind, [""])]
+    variants = [(kind, how) for kind in parse_kinds(sys.stdin.read()) for how in VARIANTS.get(kind, [""])]
     days = {}
-    for kind, how in known:
+    for kind, how in variants:
         name = f"{kind}-{how.replace(' ', '-')}".strip("-")
-        days[name] = [entry(kind, how, at, rng) for at in (rng.uniform(2, 8), rng.uniform(16, 22))]
+        days[name] = [make_event(kind, how, at, rng) for at in (rng.uniform(2, 8), rng.uniform(16, 22))]
     for number in range(arguments.mixes):
-        chosen = rng.sample(known, rng.choice((2, 3)))
-        days[f"mix-{number}"] = [entry(kind, how, rng.uniform(4, 14), rng) for kind, how in chosen]
-    for name, troubles in days.items():
-        text = day(rng.choice(bases), name, troubles, rng.randrange(1 << 30))
+        chosen = rng.sample(variants, rng.choice((2, 3)))
+        days[f"mix-{number}"] = [make_event(kind, how, rng.uniform(4, 14), rng) for kind, how in chosen]
+    for name, events in days.items():
+        text = day_file(rng.choice(bases), name, events, rng.randrange(1 << 30))
         (arguments.out / f"{name}.toml").write_text(text)
     print(f"{len(days)} days in {arguments.out}")
 
--- a/scripts/lab.sh
+++ b/scripts/lab.sh
@@ -1,12 +1,12 @@
-# A fleet of stand-ins and routers on loopback; sourced by quickstart.sh and measure.sh.
+# Functions that run a fleet of stand-ins and routers on loopback; sourced by quickstart.sh, measure.sh and scale.sh.
 #
-# Every process that is started here is remembered by its id, and ended by that id alone.
+# The id of every started process is recorded, and processes are ended by these ids only.
 
 declare -A PIDS=()     # name -> process id
-declare -A ADDRESS=()  # name -> address of its main port
-ROUTERS=()             # names of routers
-ENGINES=()             # names of engines
-SERVICES=()            # names of plain upstreams
+declare -A ADDRESS=()  # name -> address of the main port
+ROUTERS=()             # names of the routers
+ENGINES=()             # names of the model engines
+SERVICES=()            # names of the plain upstreams
 
 ZONES=(regina-a saskatoon-b brandon-c)
 LLM=assist-llm
@@ -20,7 +20,7 @@
 LAB=""
 BIN=""
 
-say() { printf '%s\n' "$*" >&2; }
+log() { printf '%s\n' "$*" >&2; }
 
 lab_open() {
   LAB=$(mktemp -d)
@@ -33,10 +33,10 @@
   local name
   for name in "${!PIDS[@]}"; do kill -CONT "${PIDS[$name]}" 2>/dev/null; kill -KILL "${PIDS[$name]}" 2>/dev/null; done
   wait 2>/dev/null
-  if [ -n "${KEEP_LOGS:-}" ]; then say "logs are in $LAB"; else rm -rf "$LAB"; fi
+  if [ -n "${KEEP_LOGS:-}" ]; then log "logs are in $LAB"; else rm -rf "$LAB"; fi
 }
 
-# start NAME COMMAND…: runs a process with its log in the lab's folder.
+# start NAME COMMAND…: starts a process in the background that logs to a file in the temporary directory.
 start() {
   local name=$1
   shift
@@ -44,14 +44,15 @@
   PIDS[$name]=$!
 }
 
-stop_now() {
+# kill_process NAME: kills a process and waits for its end.
+kill_process() {
   kill -KILL "${PIDS[$1]}"
   wait "${PIDS[$1]}" 2>/dev/null || true
   unset "PIDS[$1]"
 }
 
-# stop_planned NAME: tells a process to stop, waits, and gives its exit code.
-stop_planned() {
+# stop_gracefully NAME: sends SIGTERM to a process, waits for its end and returns its exit code.
+stop_gracefully() {
   local pid=${PIDS[$1]} code=0
   kill -TERM "$pid"
   wait "$pid" || code=$?
@@ -59,13 +60,15 @@
   return $code
 }
 
+# Sets NEXT to an unused loopback address.
 next_address() { NEXT=127.0.0.1:$PORT; PORT=$((PORT + 1)); }
 
 post() { curl -sS -m 5 -X POST -H 'content-type: application/json' -d "$2" "http://$1" >/dev/null; }
 
 platform_faults() { post "$PLATFORM/admin/faults" "$1"; }
 
-list_vm() { post "$PLATFORM/admin/vms" "[$1]"; }
+# publish_vm JSON: adds, replaces or removes a VM in the platform's list.
+publish_vm() { post "$PLATFORM/admin/vms" "[$1]"; }
 
 start_platform() {
   start platform "$BIN/stairvale-standin" platform --listen "$PLATFORM" "$@"
@@ -74,11 +77,11 @@
     curl -sf -m 1 "http://$PLATFORM/admin/stats" >/dev/null && return 0
     sleep 0.05
   done
-  say "the platform's stand-in doesn't answer: $(cat "$LAB/platform.log")"
+  log "the stand-in of the platform did not answer within about 10 s: $(cat "$LAB/platform.log")"
   return 1
 }
 
-# start_engine NAME ZONE [ARGS…]
+# start_engine NAME ZONE [ARGS…]: starts a model engine and adds it to the platform's list.
 start_engine() {
   local name=$1 zone=$2
   shift 2
@@ -86,19 +89,19 @@
   ADDRESS[$name]=$NEXT
   start "$name" "$BIN/stairvale-standin" engine --listen "$NEXT" --model prairie-8b --check-orders ${ENGINE_ARGS:-} "$@"
   ENGINES+=("$name")
-  list_vm "{\"name\":\"$name\",\"role\":\"upstream\",\"zone\":\"$zone\",\"service\":\"$LLM\",\"address\":\"$NEXT\"}"
+  publish_vm "{\"name\":\"$name\",\"role\":\"upstream\",\"zone\":\"$zone\",\"service\":\"$LLM\",\"address\":\"$NEXT\"}"
 }
 
-# start_service NAME ZONE
+# start_service NAME ZONE: starts a plain upstream and adds it to the platform's list.
 start_service() {
   next_address
   ADDRESS[$1]=$NEXT
   start "$1" "$BIN/stairvale-standin" service --listen "$NEXT"
   SERVICES+=("$1")
-  list_vm "{\"name\":\"$1\",\"role\":\"upstream\",\"zone\":\"$2\",\"service\":\"$PLAIN\",\"address\":\"$NEXT\"}"
+  publish_vm "{\"name\":\"$1\",\"role\":\"upstream\",\"zone\":\"$2\",\"service\":\"$PLAIN\",\"address\":\"$NEXT\"}"
 }
 
-# start_router NAME ZONE
+# start_router NAME ZONE: writes a router's settings, starts it and adds it to the platform's list.
 start_router() {
   local name=$1 zone=$2 callers operators peers
   next_address; callers=$NEXT
@@ -123,14 +126,17 @@
 SETTINGS
   run_router "$name"
   ROUTERS+=("$name")
-  list_vm "{\"name\":\"$name\",\"role\":\"router\",\"zone\":\"$zone\",\"address\":\"$peers\"}"
+  publish_vm "{\"name\":\"$name\",\"role\":\"router\",\"zone\":\"$zone\",\"address\":\"$peers\"}"
 }
 
+# run_router NAME: starts a router with the settings that start_router wrote.
 run_router() { start "$1" "$BIN/stairvale-router" --settings "$LAB/$1.yaml"; }
 
+# Runs stairvalectl against the first router.
 ctl() { STAIRVALE_KEY=$OPERATOR_KEY "$BIN/stairvalectl" --router "${ADDRESS[${ROUTERS[0]}-operators]}" "$@"; }
 
-# start_fleet ROUTERS ENGINES SERVICES: so many a zone; services in all.
+# start_fleet ROUTERS ENGINES SERVICES: starts the platform and a fleet. ROUTERS and ENGINES are numbers per zone, SERVICES is the
+# total number of plain upstreams.
 start_fleet() {
   local zone i
   start_platform
@@ -141,8 +147,8 @@
   for ((i = 0; i < $3; i++)); do start_service "$PLAIN-$i" "${ZONES[$((i % ${#ZONES[@]}))]}"; done
 }
 
-# Waits until the first router listens, applies the document, and waits until all routers are ready.
-apply_first() {
+# Applies the document as soon as the first router listens, then waits until all routers are ready and all upstreams usable.
+apply_document() {
   local i name
   for ((i = 0; i < 100; i++)); do
     ctl apply "$DOCUMENT" --base 0 >/dev/null 2>"$LAB/apply.err" && break
@@ -154,41 +160,41 @@
       sleep 0.05
     done
   done
-  wait_usable "$((${#ENGINES[@]} + ${#SERVICES[@]}))"
+  wait_until_usable "$((${#ENGINES[@]} + ${#SERVICES[@]}))"
 }
 
-# Waits until the first router may use so many upstreams.
-wait_usable() {
+# wait_until_usable COUNT: waits until the first router reports this number of usable upstreams.
+wait_until_usable() {
   local i
   for ((i = 0; i < 200; i++)); do
     [ "$(ctl --output json status 2>/dev/null | grep -o '"usable":[0-9]*' | head -1 | cut -d: -f2)" = "$1" ] && return 0
     sleep 0.05
   done
-  say "not all upstreams became usable; what the parts that ended or are missing say:"
-  for i in "${!PIDS[@]}"; do kill -0 "${PIDS[$i]}" 2>/dev/null || say "$i has ended: $(tail -1 "$LAB/$i.log")"; done
+  log "not all upstreams became usable within about 10 s; processes that ended and upstreams that are not usable:"
+  for i in "${!PIDS[@]}"; do kill -0 "${PIDS[$i]}" 2>/dev/null || log "$i has exited: $(tail -1 "$LAB/$i.log")"; done
   ctl --output json status 2>/dev/null | grep -o '{"upstream"[^}]*"usable":false[^}]*}' >&2 || true
   return 1
 }
 
-joined() { local IFS=,; echo "$*"; }
+join_by_comma() { local IFS=,; echo "$*"; }
 
-# load ARGS…: runs the load on all routers.
-load() {
+# run_load ARGS…: runs the load generator against all routers.
+run_load() {
   local callers=() operators=() name
   for name in "${ROUTERS[@]}"; do
     callers+=("${ADDRESS[$name]}")
     operators+=("${ADDRESS[$name-operators]}")
   done
-  "$BIN/stairvale-load" --routers "$(joined "${callers[@]}")" --operators "$(joined "${operators[@]}")" \
+  "$BIN/stairvale-load" --routers "$(join_by_comma "${callers[@]}")" --operators "$(join_by_comma "${operators[@]}")" \
     --operator-key "$OPERATOR_KEY" --platform "$PLATFORM" --keys "$KEYS" --service "$LLM" --plain "$PLAIN" \
     --policy "$POLICY" "$@"
 }
 
-# Prints what each router sent by kind; to find what control traffic is made of.
+# Prints each router's control traffic by kind, to show which messages it consists of.
 control_kinds() {
   local name
   for name in "${ROUTERS[@]}"; do
-    say "$name"
+    log "$name"
     curl -s -m 2 -H "authorization: Bearer $OPERATOR_KEY" "http://${ADDRESS[$name-operators]}/metrics" |
       grep -E 'control_kind|store_calls|control_sent' >&2
   done
--- a/scripts/platform.sh
+++ b/scripts/platform.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
-# Starts a stand-in of the users' platform and two routers on loopback, sends a request of each kind through each, prints what came back and stops all.
+# Starts a stand-in of the users' platform and two routers on loopback, sends a request of each kind through each router, prints
+# the responses and stops all processes. Exits with 1 if a response has another status than 200.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 cargo build --release --quiet -p stairvale-platform -p stairvale-platform-standin
 dir=$(mktemp -d)
 pids=()
-stop() {
+clean_up() {
   for pid in "${pids[@]}"; do kill "$pid" 2>/dev/null || true; done
   wait 2>/dev/null || true
   rm -rf "$dir"
 }
-trap stop EXIT
+trap clean_up EXIT
 
 cat > "$dir/configuration.json" <<'J'
 {"version": 1, "limits": {}, "tenants": [{"name": "demo", "api_keys": ["demo-key"]}],
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Builds stairvale, starts a small fleet on loopback, runs chats through it, prints a table and stops all it started.
-# Exits non-zero if any answer was lost, doubled or mixed.
+# Builds stairvale, starts a small fleet on loopback, runs chats through it, prints a table and stops all started processes.
+# Exits with a non-zero code if any answer was lost, duplicated or mixed up.
 #
 #   scripts/quickstart.sh [--json FILE] [--seconds N]
-#   scripts/quickstart.sh --platform       on a stand-in of the users' platform
+#   scripts/quickstart.sh --platform       runs on a stand-in of the users' platform
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -19,19 +19,19 @@
 done
 
 . scripts/lab.sh
-say "building…"
+log "building…"
 cargo build --release --quiet --workspace
 BIN=target/release
 lab_open
-say "starting the platform, 12 engines, 6 routers and 3 plain upstreams in three availability zones…"
+log "starting the platform, 12 engines, 6 routers and 3 plain upstreams in three availability zones…"
 start_fleet 2 4 3
-say "applying $DOCUMENT…"
-apply_first
-say "running chats and redemptions for $seconds s…"
+log "applying $DOCUMENT…"
+apply_document
+log "running chats and redemptions for $seconds s…"
 arguments=(--scenario quickstart --seconds "$seconds" --apply "$DOCUMENT")
 [ -n "$json" ] && arguments+=(--json "$json")
 code=0
-load "${arguments[@]}" || code=$?
+run_load "${arguments[@]}" || code=$?
 [ -n "${KINDS:-}" ] && control_kinds
-say "stopping…"
+log "stopping…"
 exit $code
